--- a/src/main.cc
+++ b/src/main.cc
@@ -3,6 +3,6 @@
 #include "platform/link_factory.h"
 
 int main(int argc, char** argv) {
-  chervilspar::adapter::WireLinkFactory links;
+  chervilspar::adapter::PlatformLinkFactory links;
   return chervilspar::cli::Main(argc, argv, links);
 }
--- a/src/platform/http_log_service.cc
+++ b/src/platform/http_log_service.cc
@@ -11,12 +11,12 @@
 constexpr unsigned kGone = 410;
 constexpr unsigned kFirstServerError = 500;
 /// A read's answer holds many records of up to 1 MiB each.
-constexpr std::size_t kMaxAnswerBytes = std::size_t{64} * 1024 * 1024;
+constexpr std::size_t kMaxResponseBytes = std::size_t{64} * 1024 * 1024;
 
 http::ClientLimits Limits() {
   http::ClientLimits limits;
   limits.connections_per_address = 1;
-  limits.body_bytes = kMaxAnswerBytes;
+  limits.body_bytes = kMaxResponseBytes;
   return limits;
 }
 
--- a/src/platform/json_fields.h
+++ b/src/platform/json_fields.h
@@ -18,16 +18,16 @@
 Result<boost::json::object> ParseObject(std::string_view body);
 
 Result<std::int64_t> RequireInteger(const boost::json::object& object, std::string_view name,
-                                    std::string_view place = {});
+                                    std::string_view parent = {});
 Result<std::string> RequireString(const boost::json::object& object, std::string_view name,
-                                  std::string_view place = {});
+                                  std::string_view parent = {});
 Result<boost::json::array> RequireArray(const boost::json::object& object, std::string_view name,
-                                        std::string_view place = {});
+                                        std::string_view parent = {});
 /// Item `index` of an array, which must be an object.
 Result<boost::json::object> RequireItem(const boost::json::array& array, std::size_t index,
-                                        std::string_view place);
+                                        std::string_view parent);
 
 /// A fault in an answer's body.
-Reason Malformed(std::string_view place, std::string_view name, std::string_view message);
+Reason MalformedField(std::string_view parent, std::string_view name, std::string_view message);
 
 }  // namespace chervilspar::platform
--- a/src/platform/platform_bodies.cc
+++ b/src/platform/platform_bodies.cc
@@ -26,7 +26,7 @@
     return next.LastReason();
   }
   if (*first > *next || *next > kMaxOffset) {
-    return Malformed("", "next", "is before 'first' or out of range");
+    return MalformedField("", "next", "is before 'first' or out of range");
   }
   ReadBatch batch;
   batch.first = *first;
@@ -36,27 +36,27 @@
 
 Result<LogRecord> ParseRecord(const json::array& records, std::size_t index,
                               config_log::Offset expected, config_log::Offset next) {
-  const std::string place = "/records/" + std::to_string(index);
+  const std::string parent = "/records/" + std::to_string(index);
   const Result<json::object> item = RequireItem(records, index, "/records");
   if (!item) {
     return item.LastReason();
   }
-  const Result<std::int64_t> offset = RequireInteger(*item, "offset", place);
+  const Result<std::int64_t> offset = RequireInteger(*item, "offset", parent);
   if (!offset) {
     return offset.LastReason();
   }
   if (*offset != expected || *offset >= next) {
-    return Malformed(place, "offset", "does not follow the one before it");
+    return MalformedField(parent, "offset", "does not follow the one before it");
   }
-  Result<std::string> data = RequireString(*item, "data", place);
+  Result<std::string> data = RequireString(*item, "data", parent);
   if (!data) {
     return data.LastReason();
   }
   return LogRecord{*offset, std::move(data).Value()};
 }
 
-Result<VmState> ParseState(const json::object& object, std::string_view place) {
-  const Result<std::string> text = RequireString(object, "state", place);
+Result<VmState> ParseVmState(const json::object& object, std::string_view parent) {
+  const Result<std::string> text = RequireString(object, "state", parent);
   if (!text) {
     return text.LastReason();
   }
@@ -66,29 +66,29 @@
       return state;
     }
   }
-  return Malformed(place, "state", "'" + *text + "' is not a state");
+  return MalformedField(parent, "state", "'" + *text + "' is not a state");
 }
 
 Result<ListedVm> ParseListedVm(const json::array& vms, std::size_t index) {
-  const std::string place = "/vms/" + std::to_string(index);
+  const std::string parent = "/vms/" + std::to_string(index);
   const Result<json::object> item = RequireItem(vms, index, "/vms");
   if (!item) {
     return item.LastReason();
   }
-  const Result<std::string> vm = RequireString(*item, "vm", place);
+  const Result<std::string> vm = RequireString(*item, "vm", parent);
   if (!vm) {
     return vm.LastReason();
   }
-  const Result<VmState> state = ParseState(*item, place);
+  const Result<VmState> state = ParseVmState(*item, parent);
   if (!state) {
     return state.LastReason();
   }
-  const Result<std::string> address = RequireString(*item, "address", place);
+  const Result<std::string> address = RequireString(*item, "address", parent);
   if (!address) {
     return address.LastReason();
   }
   if (!ParseSocketAddress(*address)) {
-    return Malformed(place, "address", "'" + *address + "' is not of the form IP:PORT");
+    return MalformedField(parent, "address", "'" + *address + "' is not of the form IP:PORT");
   }
   return ListedVm{VmId{*vm}, *state, *address};
 }
@@ -117,7 +117,7 @@
     return records.LastReason();
   }
   if (records->size() > max) {
-    return Malformed("", "records", "has more records than were asked for");
+    return MalformedField("", "records", "has more records than were asked for");
   }
   ReadBatch batch = *bounds;
   batch.records.reserve(records->size());
@@ -142,7 +142,7 @@
     return bounds;
   }
   if (bounds->first <= from) {
-    return Malformed("", "first", "a gap is reported although the offset is retained");
+    return MalformedField("", "first", "a gap is reported although the offset is retained");
   }
   ReadBatch batch = *bounds;
   batch.kind = ReadKind::kGap;
@@ -163,7 +163,7 @@
     return as_of.LastReason();
   }
   if (*as_of > kMaxUnixMs) {
-    return Malformed("", "as_of_unix_ms", "is out of range");
+    return MalformedField("", "as_of_unix_ms", "is out of range");
   }
   const Result<json::array> vms = RequireArray(*object, "vms");
   if (!vms) {
@@ -189,7 +189,7 @@
   if (!vm) {
     return vm.LastReason();
   }
-  const Result<VmState> state = ParseState(*object, "");
+  const Result<VmState> state = ParseVmState(*object, "");
   if (!state) {
     return state.LastReason();
   }
--- a/src/platform/vm_list_filter.cc
+++ b/src/platform/vm_list_filter.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// Each known VM once, in the worse of its states.
-FilteredVmList Clean(const VmList& list, const std::set<VmId>& known) {
+FilteredVmList KeepKnownVms(const VmList& list, const std::set<VmId>& known) {
   FilteredVmList filtered;
   std::map<VmId, ListedVm> by_id;
   for (const ListedVm& listed : list.vms) {
@@ -30,7 +30,7 @@
   return filtered;
 }
 
-std::optional<VmListFault> Compare(const VmList& list, const VmList& before) {
+std::optional<VmListFault> FindSequenceFault(const VmList& list, const VmList& before) {
   if (list.sequence < before.sequence) {
     return list.as_of > before.as_of ? VmListFault::kSequenceReset : VmListFault::kWentBackwards;
   }
@@ -59,15 +59,16 @@
 }
 
 FilteredVmList VmListFilter::Apply(const VmList& list, const std::set<VmId>& known) {
-  const std::optional<VmListFault> odd = this->newest ? Compare(list, *this->newest) : std::nullopt;
+  const std::optional<VmListFault> sequence_fault =
+      this->newest ? FindSequenceFault(list, *this->newest) : std::nullopt;
   const bool is_newer =
       !this->newest || list.sequence > this->newest->sequence || list.as_of > this->newest->as_of;
   if (is_newer) {
     this->newest = list;
   }
-  FilteredVmList filtered = Clean(*this->newest, known);
-  if (odd) {
-    filtered.findings.insert(filtered.findings.begin(), VmListFinding{*odd, {}});
+  FilteredVmList filtered = KeepKnownVms(*this->newest, known);
+  if (sequence_fault) {
+    filtered.findings.insert(filtered.findings.begin(), VmListFinding{*sequence_fault, {}});
   }
   return filtered;
 }
--- a/tests/adapter/wire_test.cc
+++ b/tests/adapter/wire_test.cc
@@ -82,7 +82,7 @@
 
 /// Any bytes from an endpoint, the store or a caller give a reason, never an end of the process.
 RC_GTEST_PROP(Readers, SurviveAnyBytes, (const std::string& bytes)) {
-  const WireRecords records;
+  const PlatformRecordReader records;
   RC_ASSERT(!ReadHoldReport(bytes).HasValue());
   RC_ASSERT(!records.ReadPolicy(bytes).HasValue());
   RC_ASSERT(!records.ReadEndpoint("i", bytes).HasValue());
@@ -90,7 +90,7 @@
   RC_ASSERT(!records.ReadCordon("evacuate/z", bytes).HasValue());
   http::Request request;
   request.body = bytes;
-  RC_ASSERT(!WireCallers().ReadJob(request).HasValue());
+  RC_ASSERT(!PlatformCallerFormat().ReadJob(request).HasValue());
 }
 
 struct CordonCase {
@@ -105,7 +105,7 @@
 
 /// Guards against a zone that is taken for open, or for another, by a record of an unexpected form.
 TEST_P(Cordons, NameAZoneOrNone) {
-  const Result<ZoneId> zone = WireRecords().ReadCordon(GetParam().key, GetParam().value);
+  const Result<ZoneId> zone = PlatformRecordReader().ReadCordon(GetParam().key, GetParam().value);
   EXPECT_EQ(zone ? zone->text : "", GetParam().zone);
 }
 
@@ -157,7 +157,8 @@
 class Registrations : public ::testing::TestWithParam<EndpointCase> {};
 
 TEST_P(Registrations, NameAnEndpointOrNone) {
-  EXPECT_EQ(WireRecords().ReadEndpoint("i-7", GetParam().body).HasValue(), GetParam().is_valid);
+  EXPECT_EQ(PlatformRecordReader().ReadEndpoint("i-7", GetParam().body).HasValue(),
+            GetParam().is_valid);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -180,7 +181,7 @@
     [](const auto& info) { return info.param.name; });
 
 TEST(Policies, AreReadIntoTheProductsTerms) {
-  const Result<jobs::Policy> policy = WireRecords().ReadPolicy(R"({"version":7,
+  const Result<jobs::Policy> policy = PlatformRecordReader().ReadPolicy(R"({"version":7,
       "routes":[{"name":"r","host":"h","path_prefix":"/p/","target_runtime_ms":600,"prio":1,
                  "service":"s","attempts":3,"slack_factor":1.6,"public":true,
                  "advice":{"decide_ms":5,"each_ms":1,"valid_ms":3000}}],
@@ -223,7 +224,7 @@
   request.method = GetParam().method;
   request.target = GetParam().target;
   request.headers.Add("Host", GetParam().host);
-  const job_entry::CallerCall call = WireCallers().Read(request, policy);
+  const job_entry::CallerCall call = PlatformCallerFormat().Read(request, policy);
   if (GetParam().queue == nullptr) {
     EXPECT_EQ(call.queue, nullptr);
     return;
@@ -264,7 +265,7 @@
 TEST_P(Bodies, NameTheFieldThatIsWrong) {
   http::Request request;
   request.body = GetParam().body;
-  const Result<jobs::Job> job = WireCallers().ReadJob(request);
+  const Result<jobs::Job> job = PlatformCallerFormat().ReadJob(request);
   if (GetParam().field == nullptr) {
     ASSERT_TRUE(job);
     EXPECT_TRUE(jobs::CheckJob(*job));
