--- a/include/chervilspar/platform/http_platform.h
+++ b/include/chervilspar/platform/http_platform.h
@@ -9,12 +9,12 @@
 
 namespace chervilspar::platform {
 
-/// The log at an address, after docs/PROTOCOLS.md. Appends and reads use connections of their own,
-/// so that a long read never holds up an append.
+/// Returns a client of the log at `address`; docs/PROTOCOLS.md describes the protocol. Appends and
+/// reads use separate connections, so that a long read never delays an append.
 std::unique_ptr<LogService> MakeHttpLogService(const SocketAddress& address,
                                                const http::Routes& routes);
 
-/// The VM list at an address, after docs/PROTOCOLS.md.
+/// Returns a client of the VM list at `address`; docs/PROTOCOLS.md describes the protocol.
 std::unique_ptr<VmListService> MakeHttpVmListService(const SocketAddress& address,
                                                      const http::Routes& routes);
 
--- a/include/chervilspar/platform/vm_list_filter.h
+++ b/include/chervilspar/platform/vm_list_filter.h
@@ -9,26 +9,26 @@
 
 namespace chervilspar::platform {
 
-/// What is odd about a VM list.
+/// An inconsistency of a VM list.
 enum class VmListFault {
-  /// The sequence is lower than one seen before and the list no younger: an answer overtaken on its
-  /// way. It is not used.
+  /// The sequence is lower than that of an earlier list and the list isn't newer: an answer that
+  /// arrived out of order. The list is ignored.
   kWentBackwards,
-  /// The sequence is lower but the list is younger: the platform started anew. It is used, or this
-  /// entry would hold on to an old list until the platform's count has caught up.
+  /// The sequence is lower but the list is newer: the platform has restarted its sequence. The list
+  /// is used; otherwise this entry would keep an old list until the sequence has caught up.
   kSequenceReset,
-  /// The same sequence as before with other contents; used if it is younger.
+  /// The sequence is the same as before but the contents differ. The list is used if it is newer.
   kChangedWithoutSequence,
-  /// A VM stands in the list twice; the worse state counts.
+  /// A VM is listed more than once; the worst of its states is used.
   kRepeatedVm,
-  /// A VM that the inventory doesn't know.
+  /// A VM that is not in the inventory.
   kUnknownVm,
 };
 
-/// The stable lower-case name used in logs and metrics.
+/// Returns the stable lower-case name used in logs and metrics.
 const char* ToString(VmListFault fault);
 
-/// One finding; `vm` is empty when it is about the list as a whole.
+/// An inconsistency that was found; `vm` is empty when it concerns the list as a whole.
 struct VmListFinding {
   VmListFault fault = VmListFault::kUnknownVm;
   VmId vm;
@@ -36,23 +36,24 @@
   friend bool operator==(const VmListFinding&, const VmListFinding&) = default;
 };
 
-/// A list as it may be used, with what was odd about the one that came.
+/// The VM list to use, and the inconsistencies found in it and in the list that was received.
 struct FilteredVmList {
-  /// The newest list so far: each VM once, known VMs only. When the list that came was older, this
-  /// is still the one before it.
+  /// The newest list so far, with known VMs only and each of them once. An older list doesn't
+  /// replace it.
   VmList list;
   std::vector<VmListFinding> findings;
 
   friend bool operator==(const FilteredVmList&, const FilteredVmList&) = default;
 };
 
-/// Turns the lists that come into a sequence that never goes backwards.
+/// Makes a consistent sequence of the VM lists that the platform sends.
 ///
-/// What can go wrong: a delayed answer shows a leaving VM as live again, or a repeated line gives
-/// two states, and new work is sent to a VM that is going away. The filter keeps the newest list,
-/// takes the worse of two states and reports each oddity instead of dropping it silently.
+/// A delayed answer can show a leaving VM as live again, and a repeated line can give a VM two
+/// states; work would then be sent to a VM that is going away. The filter therefore keeps the
+/// newest list, uses the worst state of a VM and reports every inconsistency.
 class VmListFilter {
  public:
+  /// Takes a received list and returns the list to use. `known` holds the VMs of the inventory.
   FilteredVmList Apply(const VmList& list, const std::set<VmId>& known);
 
  private:
--- a/include/chervilspar/platform/vm_list_service.h
+++ b/include/chervilspar/platform/vm_list_service.h
@@ -10,13 +10,14 @@
 
 namespace chervilspar::platform {
 
-/// State of a VM as the platform tells it. The list itself only knows live and leaving VMs.
+/// State of a VM as the platform reports it, from best to worst. The VM list contains only live and
+/// leaving VMs.
 enum class VmState { kLive, kLeaving, kRebooting, kFailed };
 
-/// The lower-case name used on the wire.
+/// Returns the lower-case name used on the wire.
 const char* ToString(VmState state);
 
-/// One line of the VM list.
+/// A VM of the VM list.
 struct ListedVm {
   VmId vm;
   VmState state = VmState::kLive;
@@ -26,37 +27,38 @@
   friend bool operator==(const ListedVm&, const ListedVm&) = default;
 };
 
-/// The platform's lagging list of VMs; a VM that is gone is not in it.
+/// The platform's list of VMs. It lags behind the actual state; VMs that no longer exist are not in
+/// it.
 struct VmList {
-  /// Grows with each change that the platform has seen.
+  /// Increases with each change that the platform has observed.
   std::int64_t sequence = 0;
-  /// When the platform looked.
+  /// When the platform observed the VMs.
   WallTime as_of;
   std::vector<ListedVm> vms;
 
   friend bool operator==(const VmList&, const VmList&) = default;
 };
 
-/// What the platform says of one VM.
+/// The platform's description of one VM.
 struct VmDescription {
   VmId vm;
   VmState state = VmState::kLive;
-  /// Boots since the VM was made.
+  /// Number of boots since the VM was created.
   std::int64_t boot = 0;
-  /// The last reboot step carried out; empty if none was.
+  /// The last reboot step that was executed; empty if there was none.
   StepId last_step;
 
   friend bool operator==(const VmDescription&, const VmDescription&) = default;
 };
 
-/// The platform's VM list and the acts on VMs. Calls block; each ends within its timeout. Safe to
-/// use from several threads.
+/// The platform's VM list and its operations on VMs. Calls block, at most until their timeout.
+/// Thread-safe.
 class VmListService {
  public:
   virtual ~VmListService() = default;
   virtual Result<VmList> List(Duration timeout) = 0;
-  /// Asks for a reboot under a step id; the platform carries each id out once, so repeating after
-  /// a lost answer is harmless.
+  /// Requests a reboot under a step id. The platform executes each id once, so the request may be
+  /// repeated after a lost answer.
   virtual Status Reboot(const VmId& vm, const StepId& step, Duration timeout) = 0;
   virtual Result<VmDescription> Describe(const VmId& vm, Duration timeout) = 0;
 };
--- a/src/platform/http_log_service.cc
+++ b/src/platform/http_log_service.cc
@@ -10,7 +10,7 @@
 constexpr unsigned kOk = 200;
 constexpr unsigned kGone = 410;
 constexpr unsigned kFirstServerError = 500;
-/// A read's answer holds many records of up to 1 MiB each.
+/// The answer to a read may hold many records of up to 1 MiB each.
 constexpr std::size_t kMaxResponseBytes = std::size_t{64} * 1024 * 1024;
 
 http::ClientLimits Limits() {
@@ -48,7 +48,7 @@
   if (!exchange.response) {
     return {exchange.verdict, std::nullopt, exchange.reason};
   }
-  // A server error may come after the record was written; a client error can't.
+  // The record may have been written before a server error, but not before a client error.
   const unsigned status = exchange.response->status;
   if (status != kOk) {
     const Verdict verdict = status >= kFirstServerError ? Verdict::kMayHaveRun : Verdict::kNotRun;
--- a/src/platform/http_vm_list_service.cc
+++ b/src/platform/http_vm_list_service.cc
@@ -14,7 +14,7 @@
 
 Reason UnexpectedStatus(unsigned status) {
   if (status == kNotFound) {
-    return {ErrorCode::kNotFound, "vm", "the platform doesn't know the VM"};
+    return {ErrorCode::kNotFound, "vm", "the platform does not know the VM"};
   }
   const ErrorCode code =
       status >= kFirstServerError ? ErrorCode::kUnavailable : ErrorCode::kInvalidArgument;
@@ -71,7 +71,7 @@
   }
   Result<VmDescription> description = ParseVmDescription(exchange.response->body);
   if (description && description->vm != vm) {
-    return Reason{ErrorCode::kMalformed, "/vm", "describes another VM than was asked for"};
+    return Reason{ErrorCode::kMalformed, "/vm", "describes a VM other than the requested one"};
   }
   return description;
 }
--- a/src/platform/json_fields.cc
+++ b/src/platform/json_fields.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Bound on nesting, so that a hostile body can't exhaust the stack.
+/// Limits nesting, so that a hostile body can't exhaust the stack.
 constexpr std::size_t kMaxNestingDepth = 16;
 
 }  // namespace
@@ -27,7 +27,7 @@
     return MalformedField("", "", "the body is not JSON: " + error.message());
   }
   if (!value.is_object()) {
-    return MalformedField("", "", "the body is not an object");
+    return MalformedField("", "", "the body is not a JSON object");
   }
   return std::move(value.get_object());
 }
@@ -39,7 +39,7 @@
     return MalformedField(parent, name, "is missing");
   }
   if (!value->is_int64() || value->get_int64() < 0) {
-    return MalformedField(parent, name, "is not a whole number of zero or more");
+    return MalformedField(parent, name, "is not a non-negative integer");
   }
   return value->get_int64();
 }
--- a/src/platform/json_fields.h
+++ b/src/platform/json_fields.h
@@ -11,10 +11,11 @@
 
 namespace chervilspar::platform {
 
-/// Readers of the platform's answers. Each error names the field by its JSON pointer, so that an
-/// operator can tell the platform's people what is wrong.
+/// Functions that read the platform's answers. Each error names the field by its JSON pointer, so
+/// that an operator can report the fault to the platform's maintainers. `parent` is the JSON
+/// pointer of the enclosing object or array.
 
-/// A body that must be one JSON object.
+/// Parses a body that must be one JSON object.
 Result<boost::json::object> ParseObject(std::string_view body);
 
 Result<std::int64_t> RequireInteger(const boost::json::object& object, std::string_view name,
@@ -23,11 +24,11 @@
                                   std::string_view parent = {});
 Result<boost::json::array> RequireArray(const boost::json::object& object, std::string_view name,
                                         std::string_view parent = {});
-/// Item `index` of an array, which must be an object.
+/// Returns item `index` of an array; the item must be an object.
 Result<boost::json::object> RequireItem(const boost::json::array& array, std::size_t index,
                                         std::string_view parent);
 
-/// A fault in an answer's body.
+/// Makes the error for field `name` of an answer's body.
 Reason MalformedField(std::string_view parent, std::string_view name, std::string_view message);
 
 }  // namespace chervilspar::platform
--- a/src/platform/platform_bodies.cc
+++ b/src/platform/platform_bodies.cc
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// The latest wall time that fits a `WallTime` in microseconds.
+/// The latest wall time that a `WallTime`, which counts microseconds, can represent.
 constexpr std::int64_t kMaxUnixMs = INT64_MAX / 1000;
 
-/// Offsets up to this leave room for sums.
+/// Sums with larger offsets could overflow.
 constexpr std::int64_t kMaxOffset = INT64_MAX / 2;
 
 Result<ReadBatch> ParseBounds(const json::object& object) {
@@ -66,7 +66,7 @@
       return state;
     }
   }
-  return MalformedField(parent, "state", "'" + *text + "' is not a state");
+  return MalformedField(parent, "state", "'" + *text + "' is not a VM state");
 }
 
 Result<ListedVm> ParseListedVm(const json::array& vms, std::size_t index) {
@@ -117,7 +117,7 @@
     return records.LastReason();
   }
   if (records->size() > max) {
-    return MalformedField("", "records", "has more records than were asked for");
+    return MalformedField("", "records", "has more records than requested");
   }
   ReadBatch batch = *bounds;
   batch.records.reserve(records->size());
@@ -142,7 +142,8 @@
     return bounds;
   }
   if (bounds->first <= from) {
-    return MalformedField("", "first", "a gap is reported although the offset is retained");
+    return MalformedField("", "first",
+                          "a gap is reported although the requested offset is retained");
   }
   ReadBatch batch = *bounds;
   batch.kind = ReadKind::kGap;
--- a/src/platform/platform_bodies.h
+++ b/src/platform/platform_bodies.h
@@ -7,18 +7,18 @@
 
 namespace chervilspar::platform {
 
-/// Readers of the bodies in docs/PROTOCOLS.md, apart from the transport so that they can be fed
-/// anything.
+/// Parsers of the bodies in docs/PROTOCOLS.md. They are separate from the transport, so that tests
+/// can pass them any input.
 
-/// The answer to an append.
+/// Parses the answer to an append.
 Result<config_log::Offset> ParseAppendAnswer(std::string_view body);
 
-/// The answer to a read from `from` on with at most `max` records. Records must follow each other
-/// from `from` on and lie between `first` and `next`; a hole would make this entry's state differ
-/// from everyone else's.
+/// Parses the answer to a read of at most `max` records from offset `from` on. The records must be
+/// consecutive from `from` on and lie between `first` and `next`; a missing record would make this
+/// entry's state differ from that of all other entries.
 Result<ReadBatch> ParseReadAnswer(std::string_view body, config_log::Offset from, std::size_t max);
 
-/// The body of a 410 answer.
+/// Parses the body of a 410 answer to a read from offset `from` on.
 Result<ReadBatch> ParseGapAnswer(std::string_view body, config_log::Offset from);
 
 Result<VmList> ParseVmList(std::string_view body);
--- a/src/platform/vm_list_filter.cc
+++ b/src/platform/vm_list_filter.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Each known VM once, in the worse of its states.
+/// Returns each known VM once, in the worst of its states, with the other VMs as findings.
 FilteredVmList KeepKnownVms(const VmList& list, const std::set<VmId>& known) {
   FilteredVmList filtered;
   std::map<VmId, ListedVm> by_id;
--- a/tests/adapter/wire_test.cc
+++ b/tests/adapter/wire_test.cc
@@ -22,9 +22,9 @@
   bool is_valid;
 };
 
-class TaskNames : public ::testing::TestWithParam<NameCase> {};
+class TaskNameTest : public ::testing::TestWithParam<NameCase> {};
 
-TEST_P(TaskNames, AreReadExactly) {
+TEST_P(TaskNameTest, ParsesOnlyExactForm) {
   const std::optional<jobs::TaskKey> key = ParseTaskName(GetParam().name);
   EXPECT_EQ(key.has_value(), GetParam().is_valid) << GetParam().name;
   if (key) {
@@ -32,7 +32,7 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Forms, TaskNames,
+INSTANTIATE_TEST_SUITE_P(Forms, TaskNameTest,
                          ::testing::Values(NameCase{"5c0e7a21d94b36f8.0.1.17", true},
                                            NameCase{"5c0e7a21d94b36f8.4294967295.0.0", true},
                                            NameCase{"5c0e7a21d94b36f8.4294967296.0.0", false},
@@ -44,7 +44,7 @@
                                            NameCase{"zz0e7a21d94b36f8.0.1.2", false},
                                            NameCase{"", false}));
 
-RC_GTEST_PROP(RecordFrames, ReadsBackWhatItFramed, ()) {
+RC_GTEST_PROP(RecordFrameTest, RoundTrips, ()) {
   const auto count = *rc::gen::inRange(0, 5);
   std::vector<KeyedRecord> records;
   for (int i = 0; i < count; ++i) {
@@ -65,8 +65,8 @@
   RC_ASSERT(frames->end == static_cast<std::uint64_t>(count));
 }
 
-/// An answer that is cut short must not be taken for a whole one: records would be skipped.
-RC_GTEST_PROP(RecordFrames, RefusesAnAnswerCutShort, ()) {
+/// A truncated answer must not pass for a complete one, since records would be skipped.
+RC_GTEST_PROP(RecordFrameTest, RejectsTruncatedAnswer, ()) {
   std::string answer(16, '\0');
   answer += FrameRecords({{"key", "value"}});
   const auto size = *rc::gen::inRange<std::size_t>(0, answer.size());
@@ -74,14 +74,15 @@
   RC_ASSERT(!frames || (size == 16 && frames->records.empty()));
 }
 
-RC_GTEST_PROP(RecordFrames, SurvivesAnyBytes, (const std::string& bytes)) {
+RC_GTEST_PROP(RecordFrameTest, SurvivesAnyBytes, (const std::string& bytes)) {
   ParseReadFrames(bytes);
   DecodeBase64(bytes);
   RC_SUCCEED();
 }
 
-/// Any bytes from an endpoint, the store or a caller give a reason, never an end of the process.
-RC_GTEST_PROP(Readers, SurviveAnyBytes, (const std::string& bytes)) {
+/// Arbitrary bytes from an endpoint, the store or a caller must give an error and never end the
+/// process.
+RC_GTEST_PROP(ReaderTest, SurvivesAnyBytes, (const std::string& bytes)) {
   const PlatformRecordReader records;
   RC_ASSERT(!ReadHoldReport(bytes).HasValue());
   RC_ASSERT(!records.ReadPolicy(bytes).HasValue());
@@ -97,20 +98,20 @@
   const char* name;
   std::string key;
   std::optional<std::string> value;
-  /// Empty when the record can't be read.
+  /// Empty when the record is malformed.
   std::string zone;
 };
 
-class Cordons : public ::testing::TestWithParam<CordonCase> {};
+class CordonTest : public ::testing::TestWithParam<CordonCase> {};
 
-/// Guards against a zone that is taken for open, or for another, by a record of an unexpected form.
-TEST_P(Cordons, NameAZoneOrNone) {
+/// A record of an unexpected form must neither make a zone appear open nor cordon another zone.
+TEST_P(CordonTest, ReadsZoneOrFails) {
   const Result<ZoneId> zone = PlatformRecordReader().ReadCordon(GetParam().key, GetParam().value);
   EXPECT_EQ(zone ? zone->text : "", GetParam().zone);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Records, Cordons,
+    Records, CordonTest,
     ::testing::Values(CordonCase{"set", "evacuate/is-south-a", "{}", "is-south-a"},
                       CordonCase{"lifted", "evacuate/is-south-a", std::nullopt, "is-south-a"},
                       CordonCase{"of_a_newer_form", "evacuate/a", R"({"until":{"ms":5}})", "a"},
@@ -127,14 +128,14 @@
   bool is_valid;
 };
 
-class HoldReports : public ::testing::TestWithParam<HoldCase> {};
+class HoldReportTest : public ::testing::TestWithParam<HoldCase> {};
 
-TEST_P(HoldReports, AreReadWholeOrNotAtAll) {
+TEST_P(HoldReportTest, ReadsWholeReportOrFails) {
   EXPECT_EQ(ReadHoldReport(GetParam().body).HasValue(), GetParam().is_valid);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Bodies, HoldReports,
+    Bodies, HoldReportTest,
     ::testing::Values(
         HoldCase{"empty_lists", R"({"clock_ms":5,"born":7,"active":[],"finished":[]})", true},
         HoldCase{"rows", R"({"clock_ms":5,"active":[["5c0e7a21d94b36f8.0.1.17",2,"0b",41,3500]],
@@ -154,15 +155,15 @@
   bool is_valid;
 };
 
-class Registrations : public ::testing::TestWithParam<EndpointCase> {};
+class RegistrationTest : public ::testing::TestWithParam<EndpointCase> {};
 
-TEST_P(Registrations, NameAnEndpointOrNone) {
+TEST_P(RegistrationTest, ReadsEndpointOrFails) {
   EXPECT_EQ(PlatformRecordReader().ReadEndpoint("i-7", GetParam().body).HasValue(),
             GetParam().is_valid);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Bodies, Registrations,
+    Bodies, RegistrationTest,
     ::testing::Values(
         EndpointCase{"whole", R"({"service":"s","address":"10.1.0.9:80","zone":"a","phase":"ready",
                      "capacity":{"cpu":1,"mem_mb":2,"gpu":0},"labels":["a","r1-3"],"born":5})",
@@ -180,7 +181,7 @@
         EndpointCase{"no_json", "\x01\x02", false}),
     [](const auto& info) { return info.param.name; });
 
-TEST(Policies, AreReadIntoTheProductsTerms) {
+TEST(PolicyTest, TranslatesFields) {
   const Result<jobs::Policy> policy = PlatformRecordReader().ReadPolicy(R"({"version":7,
       "routes":[{"name":"r","host":"h","path_prefix":"/p/","target_runtime_ms":600,"prio":1,
                  "service":"s","attempts":3,"slack_factor":1.6,"public":true,
@@ -209,9 +210,9 @@
   bool has_id;
 };
 
-class Calls : public ::testing::TestWithParam<CallCase> {};
+class CallTest : public ::testing::TestWithParam<CallCase> {};
 
-TEST_P(Calls, AreReadIntoTheProductsTerms) {
+TEST_P(CallTest, TranslatesRequest) {
   jobs::Policy policy;
   for (const char* prefix : {"/p/", "/p/inner/"}) {
     jobs::Queue queue;
@@ -236,7 +237,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Requests, Calls,
+    Requests, CallTest,
     ::testing::Values(
         CallCase{"submit", "POST", "h", "/p/5c0e7a21d94b36f8", CallerAction::kSubmit, "/p/", true},
         CallCase{"find", "GET", "h", "/p/5c0e7a21d94b36f8", CallerAction::kFind, "/p/", true},
@@ -256,13 +257,13 @@
 struct BodyCase {
   const char* name;
   const char* body;
-  /// The field that the reason names; null when the body is sound.
+  /// The field that the error names; null when the body is valid.
   const char* field;
 };
 
-class Bodies : public ::testing::TestWithParam<BodyCase> {};
+class JobBodyTest : public ::testing::TestWithParam<BodyCase> {};
 
-TEST_P(Bodies, NameTheFieldThatIsWrong) {
+TEST_P(JobBodyTest, NamesMalformedField) {
   http::Request request;
   request.body = GetParam().body;
   const Result<jobs::Job> job = PlatformCallerFormat().ReadJob(request);
@@ -276,9 +277,9 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Jobs, Bodies,
+    Jobs, JobBodyTest,
     ::testing::Values(
-        BodyCase{"sound", R"({"spec":"x","steps":[{"count":4,"cpu":500,"mem_mb":256,
+        BodyCase{"valid", R"({"spec":"x","steps":[{"count":4,"cpu":500,"mem_mb":256,
                  "estimate_ms":900,"affinity":"r1-3"},{"count":20,"after":[0]}]})",
                  nullptr},
         BodyCase{"unknown_field", R"({"spec":"x","later":1,"steps":[{"count":1}]})", nullptr},
--- a/tests/platform/platform_bodies_test.cc
+++ b/tests/platform/platform_bodies_test.cc
@@ -12,15 +12,15 @@
 struct BodyCase {
   std::string name;
   std::string body;
-  /// JSON pointer of the fault.
+  /// JSON pointer of the malformed field.
   std::string field;
 };
 
 class BadReadAnswerTest : public testing::TestWithParam<BodyCase> {};
 
-// The platform's log, or something in its place, answers with records that don't follow each
-// other. An entry that folded them would hold another state than all others; it must take none of
-// them and name what is wrong.
+// The log, or another server at its address, may answer with records that aren't consecutive. An
+// entry that applied them would diverge from all other entries, so it must reject the whole answer
+// and name the malformed field.
 TEST_P(BadReadAnswerTest, NamesTheField) {
   const Result<ReadBatch> batch = ParseReadAnswer(GetParam().body, 5, 10);
   ASSERT_FALSE(batch.HasValue());
@@ -49,7 +49,7 @@
         BodyCase{"NoData", R"({"first":0,"next":9,"records":[{"offset":5}]})", "/records/0/data"}),
     [](const testing::TestParamInfo<BodyCase>& info) { return info.param.name; });
 
-TEST(ReadAnswerTest, GivesRecordsInOrder) {
+TEST(ReadAnswerTest, ReturnsRecordsInOrder) {
   const Result<ReadBatch> batch = ParseReadAnswer(
       R"({"first":2,"next":9,"records":[{"offset":5,"data":"a"},{"offset":6,"data":"b"}]})", 5, 2);
   ASSERT_TRUE(batch.HasValue());
@@ -60,7 +60,7 @@
                    .HasValue());
 }
 
-TEST(GapAnswerTest, IsAGapOnlyWhenTheOffsetIsGone) {
+TEST(GapAnswerTest, IsGapOnlyIfOffsetIsNotRetained) {
   const Result<ReadBatch> gap = ParseGapAnswer(R"({"first":8,"next":9})", 5);
   ASSERT_TRUE(gap.HasValue());
   EXPECT_EQ(gap->kind, ReadKind::kGap);
@@ -69,8 +69,8 @@
 
 class BadVmListTest : public testing::TestWithParam<BodyCase> {};
 
-// A VM list with a state or an address that can't be read. Taking the rest of it would look as if
-// the VM were gone, so the whole answer is refused and the list before it stays.
+// A VM list may contain a malformed state or address. If only that line were dropped, the VM would
+// appear to be gone; the whole answer must be rejected, so that the previous list stays in use.
 TEST_P(BadVmListTest, NamesTheField) {
   const Result<VmList> list = ParseVmList(GetParam().body);
   ASSERT_FALSE(list.HasValue());
@@ -89,17 +89,17 @@
             R"({"sequence":1,"as_of_unix_ms":1,"vms":[{"state":"live","address":"1.2.3.4:5"}]})",
             "/vms/0/vm"},
         BodyCase{
-            "OddState",
+            "UnknownState",
             R"({"sequence":1,"as_of_unix_ms":1,"vms":[{"vm":"a","state":"odd","address":"1.2.3.4:5"}]})",
             "/vms/0/state"},
         BodyCase{
-            "OddAddress",
+            "MalformedAddress",
             R"({"sequence":1,"as_of_unix_ms":1,"vms":[{"vm":"a","state":"live","address":"host:5"}]})",
             "/vms/0/address"}),
     [](const testing::TestParamInfo<BodyCase>& info) { return info.param.name; });
 
-// Noise in the platform's answers must never crash an entry nor pass for records.
-RC_GTEST_PROP(PlatformBodiesProperty, SurviveGarbage, ()) {
+// Corrupt answers of the platform must neither crash an entry nor be accepted as records.
+RC_GTEST_PROP(PlatformBodiesProperty, RejectCorruptInput, ()) {
   std::string body = R"({"first":0,"next":9,"records":[{"offset":5,"data":"a"}]})";
   const auto edits = *rc::gen::inRange(0, 6);
   for (int i = 0; i < edits; ++i) {
@@ -110,10 +110,10 @@
     RC_ASSERT(batch->records.size() <= 1U);
     RC_ASSERT(batch->records.empty() || batch->records.front().offset == 5);
   }
-  const std::string noise = *rc::gen::arbitrary<std::string>();
-  RC_ASSERT(!ParseVmList(noise).HasValue());
-  RC_ASSERT(!ParseVmDescription(noise).HasValue());
-  RC_ASSERT(!ParseGapAnswer(noise, 1).HasValue());
+  const std::string random_body = *rc::gen::arbitrary<std::string>();
+  RC_ASSERT(!ParseVmList(random_body).HasValue());
+  RC_ASSERT(!ParseVmDescription(random_body).HasValue());
+  RC_ASSERT(!ParseGapAnswer(random_body, 1).HasValue());
 }
 
 }  // namespace
--- a/tests/platform/vm_list_filter_test.cc
+++ b/tests/platform/vm_list_filter_test.cc
@@ -24,9 +24,9 @@
 
 class VmListFilterTest : public testing::TestWithParam<FilterCase> {};
 
-// The platform's list lags: an answer overtakes another, a line stands in it twice, a VM that was
-// never published turns up. If a leaving VM looked live again, it would get work that its reboot
-// then cuts.
+// Answers of the platform may arrive out of order, list a VM twice or contain a VM that isn't in
+// the inventory. If a leaving VM appeared live again, it would receive work that its reboot then
+// interrupts.
 TEST_P(VmListFilterTest, NeverGoesBackwards) {
   VmListFilter filter;
   const VmList first = List(5, {Vm("a", VmState::kLeaving), Vm("b", VmState::kLive)});
