--- a/tests/soak/store_server.cc
+++ b/tests/soak/store_server.cc
@@ -94,7 +94,7 @@
   }
   if (path == "/-/log-leave") {
     const Result<json::object> body = adapter::ParseObject(request.body);
-    std::string member = body ? adapter::Fields(*body).Text("member") : "";
+    std::string member = body ? adapter::JsonObjectReader(*body).Text("member") : "";
     const Status left = co_await this->link.Leave(std::move(member), kDownWait);
     co_return Answer(left ? 200 : 503, {});
   }
@@ -172,9 +172,9 @@
   if (!body) {
     co_return Answer(400, {});
   }
-  const adapter::Fields fields(*body);
+  const adapter::JsonObjectReader fields(*body);
   const Result<job_entry::Membership> joined = co_await this->link.Join(
-      fields.Text("member"), 0, std::chrono::milliseconds(fields.Number("ttl_ms")), kDownWait);
+      fields.Text("member"), 0, std::chrono::milliseconds(fields.Integer("ttl_ms")), kDownWait);
   if (!joined) {
     co_return Answer(503, {});
   }
--- a/tests/soak/worker_server.cc
+++ b/tests/soak/worker_server.cc
@@ -71,15 +71,15 @@
   }
   const Result<json::object> body = adapter::ParseObject(request.body);
   const std::optional<jobs::TaskKey> task =
-      body ? adapter::ParseTaskName(adapter::Fields(*body).Text("task")) : std::nullopt;
+      body ? adapter::ParseTaskName(adapter::JsonObjectReader(*body).Text("task")) : std::nullopt;
   if (path != "/-/run-stop" || !task) {
     co_return Answer(400, {});
   }
   jobs::StopOrder order;
   order.endpoint = this->id;
   order.task = *task;
-  order.run = static_cast<std::uint64_t>(adapter::Fields(*body).Number("run"));
-  order.token = static_cast<std::uint64_t>(adapter::Fields(*body).Number("fence"));
+  order.run = static_cast<std::uint64_t>(adapter::JsonObjectReader(*body).Integer("run"));
+  order.token = static_cast<std::uint64_t>(adapter::JsonObjectReader(*body).Integer("fence"));
   const OrderOutcome outcome = co_await this->link.Stop(std::move(order), kDarkWait);
   co_return AnswerTo(outcome);
 }
@@ -89,14 +89,14 @@
   if (!body) {
     co_return Answer(400, {});
   }
-  const adapter::Fields fields(*body);
+  const adapter::JsonObjectReader fields(*body);
   jobs::HoldOrder order;
   order.endpoint = this->id;
-  order.token = static_cast<std::uint64_t>(fields.Number("fence"));
-  order.confirmed_end = static_cast<std::uint64_t>(fields.Number("ack_cursor"));
-  order.wait = std::chrono::milliseconds(fields.Number("wait_ms"));
+  order.token = static_cast<std::uint64_t>(fields.Integer("fence"));
+  order.confirmed_end = static_cast<std::uint64_t>(fields.Integer("ack_cursor"));
+  order.wait = std::chrono::milliseconds(fields.Integer("wait_ms"));
   if (fields.Has("until_ms")) {
-    order.lease_end_ms = fields.Number("until_ms");
+    order.lease_end_ms = fields.Integer("until_ms");
   }
   const job_entry::HeldOutcome held = co_await this->link.Hold(std::move(order), kDarkWait);
   if (!held.report) {
@@ -118,17 +118,17 @@
 asio::awaitable<http::Response> WorkerServer::Start(const http::Request& request) {
   const Result<json::object> body = adapter::ParseObject(request.body);
   const std::optional<jobs::TaskKey> task =
-      body ? adapter::ParseTaskName(adapter::Fields(*body).Text("task")) : std::nullopt;
+      body ? adapter::ParseTaskName(adapter::JsonObjectReader(*body).Text("task")) : std::nullopt;
   if (!task) {
     co_return Answer(400, {});
   }
-  const adapter::Fields fields(*body);
+  const adapter::JsonObjectReader fields(*body);
   jobs::StartOrder order;
   order.endpoint = this->id;
   order.task = *task;
-  order.run = static_cast<std::uint64_t>(fields.Number("run"));
-  order.token = static_cast<std::uint64_t>(fields.Number("fence"));
-  order.lease_end_ms = fields.Number("until_ms");
+  order.run = static_cast<std::uint64_t>(fields.Integer("run"));
+  order.token = static_cast<std::uint64_t>(fields.Integer("fence"));
+  order.lease_end_ms = fields.Integer("until_ms");
   const std::size_t before = this->all.starts.size();
   const OrderOutcome outcome = co_await this->link.Start(std::move(order), kDarkWait);
   if (outcome == OrderOutcome::kDone && this->all.starts.size() > before) {
