--- a/include/chervilspar/job_entry/links.h
+++ b/include/chervilspar/job_entry/links.h
@@ -75,7 +75,7 @@
   virtual ~AdviceLink() = default;
 
   virtual boost::asio::awaitable<Result<std::vector<jobs::AdviceTicket>>> Ask(
-      jobs::AdviceQuestion question, Duration timeout) = 0;
+      jobs::AdviceRequest question, Duration timeout) = 0;
 };
 
 /// Reads what others write into the store.
--- a/include/chervilspar/jobs/scheduler.h
+++ b/include/chervilspar/jobs/scheduler.h
@@ -21,22 +21,22 @@
 namespace chervilspar::jobs {
 
 /// How much a note matters to somebody who asks what became of a job.
-enum class NoteWeight {
+enum class EventImportance {
   /// One of thousands that go as they should.
   kRoutine,
   kNotable,
 };
 
 /// A decision on a task or job, for logs: which, where, and what decided it.
-struct Note {
+struct DecisionEvent {
   std::string event;
   std::optional<TaskKey> task;
   std::optional<JobId> job;
   std::string endpoint;
   std::string why;
-  NoteWeight weight = NoteWeight::kNotable;
+  EventImportance weight = EventImportance::kNotable;
 
-  friend bool operator==(const Note&, const Note&) = default;
+  friend bool operator==(const DecisionEvent&, const DecisionEvent&) = default;
 };
 
 /// One keyed record to be written: a job's progress, or its removal.
@@ -80,7 +80,7 @@
 };
 
 /// A question to the adviser of a queue: on which of these endpoints may the step run?
-struct AdviceQuestion {
+struct AdviceRequest {
   TaskKey step;
   std::vector<std::string> endpoints;
 };
@@ -94,7 +94,7 @@
 };
 
 /// How a renewal at an endpoint should look now.
-struct HoldPlan {
+struct RenewalPlan {
   HoldOrder order;
   /// False: nothing is to be renewed or learnt there.
   bool is_needed = false;
@@ -104,7 +104,7 @@
 enum class EvacuationState { kUnknownEndpoint, kRunning, kEmpty };
 
 /// What an endpoint is used for, for the choice of VMs.
-struct EndpointUse {
+struct EndpointUsage {
   Resources used;
   bool is_empty = false;
   bool has_long_running = false;
@@ -113,7 +113,7 @@
   /// It has not answered lately.
   bool is_silent = false;
 
-  friend bool operator==(const EndpointUse&, const EndpointUse&) = default;
+  friend bool operator==(const EndpointUsage&, const EndpointUsage&) = default;
 };
 
 /// Decides which task runs where. Owns the state of all jobs of its pools, without network, clock
@@ -154,19 +154,20 @@
   /// The same from its record. One in the compact form is written anew with the next batch where
   /// rows are to be stored.
   Status RestoreStored(const JobId& id, std::string_view text);
-  /// Stored notices, whoever made them; after `RestoreProgress` and before `NoteLeases`.
+  /// Stored notices, whoever made them; after `RestoreProgress` and before `RecordInterimLeases`.
   void RestoreLapseNotices(const std::vector<LapseNotice>& notices);
   /// Leases that were given for this token before the jobs were known, with the times by our clock
   /// at which they have certainly lapsed; after `RestoreProgress`.
-  void NoteLeases(const std::map<std::string, TimePoint>& lease_ends);
+  void RecordInterimLeases(const std::map<std::string, TimePoint>& lease_ends);
   /// Cancels a job, also one that is yet to come.
   void CancelJob(const JobId& id);
   /// `sent`: when the hold was sent; what ended after that may be missing in it.
-  void OnHeld(const HoldOrder& order, const HoldReport& report, TimePoint sent, TimePoint now);
-  void OnHoldFailed(const std::string& endpoint, OrderOutcome outcome, TimePoint now);
+  void OnRenewalAnswered(const HoldOrder& order, const HoldReport& report, TimePoint sent,
+                         TimePoint now);
+  void OnRenewalFailed(const std::string& endpoint, OrderOutcome outcome, TimePoint now);
   void OnStartAnswered(const StartOrder& order, OrderOutcome outcome, TimePoint now);
   void OnStopAnswered(const StopOrder& order, OrderOutcome outcome, TimePoint now);
-  void OnPaceAnswered(const PaceOrder& order, OrderOutcome outcome);
+  void OnThrottleAnswered(const PaceOrder& order, OrderOutcome outcome);
   void OnAdvice(const TaskKey& step, const std::vector<AdviceTicket>& tickets, TimePoint now);
 
   /// Until this time there was certainly no successor. Leases are renewed for
@@ -181,7 +182,7 @@
 
   // Decisions.
   Orders Decide(TimePoint now, WallTime wall);
-  std::vector<AdviceQuestion> TakeQuestions(TimePoint now);
+  std::vector<AdviceRequest> TakeAdviceRequests(TimePoint now);
   /// True when there is something to store or to confirm.
   bool HasBatch() const;
   /// What changed since the last batch. One batch at a time: the next after `ConfirmBatch`.
@@ -189,17 +190,17 @@
   /// The batch is stored: gives the starts that it allows.
   Orders ConfirmBatch(TimePoint now);
   /// Jobs whose end was stored since the last call: what else is stored of them is needless.
-  std::vector<JobId> TakeEnded();
+  std::vector<JobId> TakeEndedJobs();
   /// Jobs that ended so long ago that nobody is told of them any more, at most `most`.
-  std::vector<JobId> Expired(WallTime wall, std::size_t most) const;
+  std::vector<JobId> ExpiredJobs(WallTime wall, std::size_t most) const;
   /// Their submissions are gone from the store: drops what is left of them.
   void Forget(const std::vector<JobId>& ids);
-  HoldPlan PlanHold(const std::string& endpoint, TimePoint now);
+  RenewalPlan PlanRenewal(const std::string& endpoint, TimePoint now);
   std::vector<std::string> EndpointIds() const;
   /// Empty for an endpoint that isn't known here.
   ZoneId ZoneOf(const std::string& endpoint) const;
   /// Events since the last call, oldest first.
-  std::vector<Note> TakeNotes();
+  std::vector<DecisionEvent> TakeEvents();
   /// True once an endpoint has seen a higher token: another scheduler has taken over.
   bool IsSuperseded() const;
 
@@ -207,10 +208,10 @@
   void BeginEvacuation(const std::string& endpoint);
   void EndEvacuation(const std::string& endpoint);
   /// Endpoints whose VMs are to be rebooted soon: long-running tasks go elsewhere if they can.
-  void SetDue(const std::set<std::string>& endpoints);
+  void SetUpcomingReboots(const std::set<std::string>& endpoints);
   EvacuationState EvacuationOf(const std::string& endpoint) const;
   /// Nothing for an endpoint that isn't known here.
-  std::optional<EndpointUse> UseOf(const std::string& endpoint) const;
+  std::optional<EndpointUsage> UsageOf(const std::string& endpoint) const;
   std::map<ServiceId, PoolLoad> PoolLoads() const;
   /// Cpu in use and in all over the endpoints of a service, for the choice of VMs.
   Resources UsedIn(const ServiceId& service) const;
--- a/include/chervilspar/jobs/scheduler_options.h
+++ b/include/chervilspar/jobs/scheduler_options.h
@@ -29,29 +29,29 @@
   Duration stop_retry = std::chrono::milliseconds(400);
   /// How long one renewal may wait at the endpoint for an end. Bounds how old the figures of
   /// long-running tasks are; a fifth of the lease, so that several may fail before it lapses.
-  Duration hold_wait = std::chrono::milliseconds(800);
+  Duration renewal_wait = std::chrono::milliseconds(800);
   /// The same while a long-running task starts there: the next of its step may only move when it is
   /// known to be at work.
   Duration startup_wait = std::chrono::milliseconds(200);
   /// Renewals while ends can't be confirmed, since then each is answered at once.
-  Duration hold_pause = std::chrono::milliseconds(300);
+  Duration renewal_pause = std::chrono::milliseconds(300);
   /// An endpoint that has not answered for this long gets looks only, no renewals, so that its
   /// leases lapse and its work can go elsewhere.
-  Duration silence = std::chrono::milliseconds(1500);
+  Duration unresponsive_after = std::chrono::milliseconds(1500);
   /// An endpoint is passed over for this long after runs of several jobs failed in a row.
   Duration ejection = std::chrono::seconds(4);
   int failures_to_eject = 3;
   /// A run whose progress stands still this long is moved.
-  Duration stall = std::chrono::milliseconds(2500);
+  Duration stall_timeout = std::chrono::milliseconds(2500);
   /// A job is worth something until this many times its objective.
   double late_factor = 3.0;
   /// Wait before a failed long-running task starts again; doubles up to ten times this.
   Duration restart_pause = std::chrono::milliseconds(100);
   /// How long an ended job is told of before its records are dropped.
-  Duration keep_ended = std::chrono::seconds(150);
+  Duration ended_job_retention = std::chrono::seconds(150);
   /// Jobs that don't fit looked at in one round before the rest waits for the next; bounds the cost
   /// of a round when thousands wait.
-  int misses_per_round = 24;
+  int max_unplaced_per_round = 24;
 
   /// Whether jobs that don't fit are given up early when not all can be on time; see
   /// `OverloadPlan`.
--- a/src/job_entry/decision_options.cc
+++ b/src/job_entry/decision_options.cc
@@ -30,7 +30,7 @@
 constexpr std::array kSchedulerMembers = {
     NamedMember<SchedulerMember>{"scheduler.lease", &jobs::SchedulerOptions::lease},
     NamedMember<SchedulerMember>{"scheduler.ejection", &jobs::SchedulerOptions::ejection},
-    NamedMember<SchedulerMember>{"scheduler.stall", &jobs::SchedulerOptions::stall},
+    NamedMember<SchedulerMember>{"scheduler.stall", &jobs::SchedulerOptions::stall_timeout},
     NamedMember<SchedulerMember>{"scheduler.overload", &jobs::SchedulerOptions::plans_overload},
 };
 
--- a/src/job_entry/order_sender.cc
+++ b/src/job_entry/order_sender.cc
@@ -89,13 +89,14 @@
     this->context.metrics.Count(
         {"chervilspar_paces_total", {{"outcome", jobs::ToString(outcome)}}});
     if (!this->is_stopped) {
-      this->scheduler.OnPaceAnswered(order, outcome);
+      this->scheduler.OnThrottleAnswered(order, outcome);
     }
   }
 
   asio::awaitable<void> HoldLoop([[maybe_unused]] std::shared_ptr<Channel> self) {
     while (!this->is_stopped) {
-      const jobs::HoldPlan plan = this->scheduler.PlanHold(this->endpoint, this->context.Now());
+      const jobs::RenewalPlan plan =
+          this->scheduler.PlanRenewal(this->endpoint, this->context.Now());
       this->CountHeld(plan.is_needed);
       if (!plan.is_needed || plan.order.address.ip.empty()) {
         co_await this->wakeup->WaitFor(kIdlePause);
@@ -139,11 +140,11 @@
     if (!held.report) {
       this->context.metrics.Count(
           {"chervilspar_holds_failed_total", {{"outcome", jobs::ToString(held.outcome)}}});
-      this->scheduler.OnHoldFailed(this->endpoint, held.outcome, this->context.Now());
+      this->scheduler.OnRenewalFailed(this->endpoint, held.outcome, this->context.Now());
       co_return false;
     }
     this->is_store_awaited = !held.report->ended.empty();
-    this->scheduler.OnHeld(order, *held.report, sent, this->context.Now());
+    this->scheduler.OnRenewalAnswered(order, *held.report, sent, this->context.Now());
     co_return true;
   }
 
--- a/src/job_entry/owner_term.cc
+++ b/src/job_entry/owner_term.cc
@@ -259,7 +259,7 @@
 
 /// Not for each batch: each append is priced, and only a successor reads what is left.
 asio::awaitable<void> OwnerTerm::DropEnded() {
-  const std::vector<jobs::JobId> ended = this->scheduler.TakeEnded();
+  const std::vector<jobs::JobId> ended = this->scheduler.TakeEndedJobs();
   this->ended.insert(this->ended.end(), ended.begin(), ended.end());
   if (this->ended.empty() || this->context.Now() - this->ended_dropped < kDropPace) {
     co_return;
@@ -273,7 +273,7 @@
 
 asio::awaitable<void> OwnerTerm::DropExpired() {
   const std::vector<jobs::JobId> expired =
-      this->scheduler.Expired(this->context.clock.WallNow(), kMostDropped);
+      this->scheduler.ExpiredJobs(this->context.clock.WallNow(), kMostDropped);
   if (expired.empty()) {
     co_return;
   }
@@ -287,9 +287,9 @@
 
 asio::awaitable<void> OwnerTerm::AdviceLoop([[maybe_unused]] std::shared_ptr<OwnerTerm> self) {
   while (!this->is_stopped && this->context.links.advice != nullptr) {
-    const std::vector<jobs::AdviceQuestion> questions =
-        this->scheduler.TakeQuestions(this->context.Now());
-    for (const jobs::AdviceQuestion& question : questions) {
+    const std::vector<jobs::AdviceRequest> questions =
+        this->scheduler.TakeAdviceRequests(this->context.Now());
+    for (const jobs::AdviceRequest& question : questions) {
       const Result<std::vector<jobs::AdviceTicket>> tickets =
           co_await this->context.links.advice->Ask(question, kAdviceTimeout);
       if (this->is_stopped) {
@@ -310,7 +310,7 @@
 }
 
 void OwnerTerm::LogNotes() {
-  for (const jobs::Note& note : this->scheduler.TakeNotes()) {
+  for (const jobs::DecisionEvent& note : this->scheduler.TakeEvents()) {
     std::vector<telemetry::LogField> fields;
     if (note.task) {
       fields.push_back({"task", jobs::ToString(*note.task)});
@@ -319,7 +319,7 @@
       fields.push_back({"endpoint", note.endpoint});
     }
     const jobs::JobId job = note.task ? note.task->job : note.job.value_or(jobs::JobId{});
-    const bool is_routine = note.weight == jobs::NoteWeight::kRoutine;
+    const bool is_routine = note.weight == jobs::EventImportance::kRoutine;
     LogEvent(is_routine ? telemetry::LogLevel::kDebug : telemetry::LogLevel::kInfo, note.event,
              note.why, std::move(fields), jobs::ToString(job));
   }
--- a/src/job_entry/owner_term_load.cc
+++ b/src/job_entry/owner_term_load.cc
@@ -42,7 +42,7 @@
   this->LoadProgress(progress);
   this->LoadLapseNotices(progress);
   this->keeper->Stop();
-  this->scheduler.NoteLeases(this->keeper->Leases().LeaseEnds());
+  this->scheduler.RecordInterimLeases(this->keeper->Leases().LeaseEnds());
   this->job_log.ApplyCancellations();
   this->FollowRules();
   co_return this->operators.Policy() != nullptr;
--- a/src/job_entry/vm_driver.cc
+++ b/src/job_entry/vm_driver.cc
@@ -108,7 +108,7 @@
       co_await this->DriveWave(wave, may_order, due);
     }
   }
-  this->scheduler.SetDue(due);
+  this->scheduler.SetUpcomingReboots(due);
   if (!this->is_stopped) {
     this->Resize(may_order);
   }
@@ -167,7 +167,7 @@
 bool VmDriver::IsRegistering(const jobs::VmRecord& vm) const {
   const auto found = this->registering.find(vm.id);
   return found != this->registering.end() && this->context.Now() < found->second &&
-         !this->scheduler.UseOf(vm.endpoint);
+         !this->scheduler.UsageOf(vm.endpoint);
 }
 
 void VmDriver::Evacuate(const jobs::VmRecord& vm, const char* why) {
@@ -299,7 +299,7 @@
       const auto used = static_cast<double>(this->scheduler.UsedIn(vm.pool).cpu);
       use_of->second = all > 0 ? used / all : 0;
     }
-    const std::optional<jobs::EndpointUse> use = this->scheduler.UseOf(vm.endpoint);
+    const std::optional<jobs::EndpointUsage> use = this->scheduler.UsageOf(vm.endpoint);
     loads[vm.endpoint] = {evacuation == jobs::EvacuationState::kEmpty, use && use->has_long_running,
                           this->operators.CordonedZones().contains(vm.zone), use_of->second};
   }
@@ -329,7 +329,7 @@
 std::vector<jobs::SizerVm> VmDriver::SizerVms() const {
   std::vector<jobs::SizerVm> out;
   for (const jobs::VmRecord& vm : this->vms) {
-    const std::optional<jobs::EndpointUse> use = this->scheduler.UseOf(vm.endpoint);
+    const std::optional<jobs::EndpointUsage> use = this->scheduler.UsageOf(vm.endpoint);
     jobs::SizerVm sized;
     sized.id = vm.id;
     sized.pool = vm.pool;
--- a/src/jobs/lapse_review.cc
+++ b/src/jobs/lapse_review.cc
@@ -16,7 +16,8 @@
   const bool is_unreached = endpoint.is_silent || !endpoint.clock_ms.has_value();
   const TimePoint heard = std::max(endpoint.heard, this->state.began);
   return is_unreached && !endpoint.claims.empty() &&
-         this->now - heard >= this->state.options.silence && this->now < endpoint.lease_end;
+         this->now - heard >= this->state.options.unresponsive_after &&
+         this->now < endpoint.lease_end;
 }
 
 void LapseReview::Run() {
--- a/src/jobs/placing_round.cc
+++ b/src/jobs/placing_round.cc
@@ -124,7 +124,7 @@
     JobState& job = *this->state.FindJob(key.job);
     const bool is_meant = which == Which::kAll || job.is_given_up == (which == Which::kGivenUp);
     if (is_meant && !this->PlaceJob(job) &&
-        ++this->misses >= this->state.options.misses_per_round) {
+        ++this->misses >= this->state.options.max_unplaced_per_round) {
       return false;
     }
     place = pool.ready.upper_bound(key);
--- a/src/jobs/run_tracker.cc
+++ b/src/jobs/run_tracker.cc
@@ -65,12 +65,13 @@
   }
   const bool is_mine = this->IsMine(ref, endpoint, ended.run);
   this->state.NoteBegun(ref, endpoint, now);
-  this->state.Tell({"run_ended",
-                    ended.task,
-                    {},
-                    endpoint.record.id,
-                    ToString(ended.end),
-                    ended.end == RunEnd::kDone ? NoteWeight::kRoutine : NoteWeight::kNotable});
+  this->state.Tell(
+      {"run_ended",
+       ended.task,
+       {},
+       endpoint.record.id,
+       ToString(ended.end),
+       ended.end == RunEnd::kDone ? EventImportance::kRoutine : EventImportance::kNotable});
   if (!ended.checkpoint.empty() && ref.task->progress.phase != TaskPhase::kDone) {
     ref.task->progress.checkpoint = ended.checkpoint;
   }
--- a/src/jobs/scheduler.cc
+++ b/src/jobs/scheduler.cc
@@ -201,7 +201,7 @@
   LapseReview(this->impl->state, this->impl->state.began).Restore(notices);
 }
 
-void Scheduler::NoteLeases(const std::map<std::string, TimePoint>& lease_ends) {
+void Scheduler::RecordInterimLeases(const std::map<std::string, TimePoint>& lease_ends) {
   for (const auto& [id, lease_end] : lease_ends) {
     if (EndpointState* endpoint = this->impl->state.FindEndpoint(id)) {
       endpoint->lease_end = std::max(endpoint->lease_end, lease_end);
@@ -246,7 +246,7 @@
     const Task& task = *ref.task;
     const bool is_batch = !ref.spec->is_long_running && !ref.spec->is_gang;
     if (is_batch && task.state == RunState::kActive &&
-        now - task.percent_since > this->state.options.stall) {
+        now - task.percent_since > this->state.options.stall_timeout) {
       this->state.Tell({"run_stalled",
                         key,
                         {},
@@ -259,7 +259,7 @@
   }
 }
 
-void Scheduler::OnHoldFailed(const std::string& id, OrderOutcome outcome, TimePoint now) {
+void Scheduler::OnRenewalFailed(const std::string& id, OrderOutcome outcome, TimePoint now) {
   EndpointState* endpoint = this->impl->state.FindEndpoint(id);
   if (outcome == OrderOutcome::kTokenTooLow) {
     this->impl->state.is_superseded = true;
@@ -281,7 +281,7 @@
   this->impl->tracker.OnStopAnswered(order, outcome, now);
 }
 
-void Scheduler::OnPaceAnswered(const PaceOrder& order, OrderOutcome outcome) {
+void Scheduler::OnThrottleAnswered(const PaceOrder& order, OrderOutcome outcome) {
   this->impl->pacing.OnAnswered(order, outcome);
 }
 
@@ -350,13 +350,13 @@
   return orders;
 }
 
-HoldPlan Scheduler::PlanHold(const std::string& id, TimePoint now) {
+RenewalPlan Scheduler::PlanRenewal(const std::string& id, TimePoint now) {
   SchedulerState& state = this->impl->state;
   EndpointState* endpoint = state.FindEndpoint(id);
   if (endpoint == nullptr) {
     return {};
   }
-  HoldPlan plan;
+  RenewalPlan plan;
   plan.order.endpoint = id;
   plan.order.address = endpoint->record.address;
   plan.order.token = state.token;
@@ -371,7 +371,7 @@
       has_claims || !endpoint->strays.empty() ||
       (endpoint->is_registered && (!is_known || is_clock_old || endpoint->is_silent)) ||
       endpoint->confirmed_end < endpoint->seen_end;
-  const bool is_heard = is_known && now - endpoint->heard < state.options.silence;
+  const bool is_heard = is_known && now - endpoint->heard < state.options.unresponsive_after;
   const bool is_reached = is_known && (is_heard || !endpoint->is_silent);
   if (this->MayRenew(now) && has_claims && is_reached && !endpoint->has_lapse_notice) {
     const Duration lease = state.options.lease;
@@ -383,7 +383,7 @@
   const bool may_wait =
       has_claims && is_known && endpoint->stored_end >= endpoint->seen_end && !endpoint->is_silent;
   const Duration wait =
-      state.HasStartingTask(*endpoint) ? state.options.startup_wait : state.options.hold_wait;
+      state.HasStartingTask(*endpoint) ? state.options.startup_wait : state.options.renewal_wait;
   plan.order.wait = may_wait ? wait : Duration::zero();
   return plan;
 }
--- a/src/jobs/scheduler_advice.cc
+++ b/src/jobs/scheduler_advice.cc
@@ -33,9 +33,9 @@
   }
 }
 
-std::vector<AdviceQuestion> Scheduler::TakeQuestions(TimePoint now) {
+std::vector<AdviceRequest> Scheduler::TakeAdviceRequests(TimePoint now) {
   SchedulerState& state = this->impl->state;
-  std::vector<AdviceQuestion> questions;
+  std::vector<AdviceRequest> questions;
   for (auto& [service, pool] : state.pools) {
     std::size_t asked = 0;
     for (const ReadyKey& ready : pool.ready) {
@@ -53,7 +53,7 @@
               asked >= kMostQuestions) {
             continue;
           }
-          AdviceQuestion question{{job.job.id, number, i, 0}, {}};
+          AdviceRequest question{{job.job.id, number, i, 0}, {}};
           for (const EndpointState* endpoint : pool.endpoints) {
             if (question.endpoints.size() < kMostAdvised && Placement::IsUsable(*endpoint, now)) {
               question.endpoints.push_back(endpoint->record.id);
--- a/src/jobs/scheduler_records.cc
+++ b/src/jobs/scheduler_records.cc
@@ -194,16 +194,17 @@
   return orders;
 }
 
-std::vector<JobId> Scheduler::TakeEnded() {
+std::vector<JobId> Scheduler::TakeEndedJobs() {
   std::vector<JobId> ended = std::move(this->impl->ended_stored);
   this->impl->ended_stored.clear();
   return ended;
 }
 
-std::vector<JobId> Scheduler::Expired(WallTime wall, std::size_t most) const {
+std::vector<JobId> Scheduler::ExpiredJobs(WallTime wall, std::size_t most) const {
   const SchedulerState& state = this->impl->state;
   const auto keep =
-      std::chrono::duration_cast<std::chrono::milliseconds>(state.options.keep_ended).count();
+      std::chrono::duration_cast<std::chrono::milliseconds>(state.options.ended_job_retention)
+          .count();
   std::vector<JobId> expired;
   for (const auto& [ended_ms, id] : state.ended) {
     if (ended_ms + keep > ToUnixMs(wall) || expired.size() >= most) {
--- a/src/jobs/scheduler_state.cc
+++ b/src/jobs/scheduler_state.cc
@@ -351,7 +351,7 @@
   }
 }
 
-void SchedulerState::Tell(Note note) {
+void SchedulerState::Tell(DecisionEvent note) {
   if (this->notes.size() >= kMaxNotes) {
     ++this->notes_dropped;
     return;
--- a/src/jobs/scheduler_state.h
+++ b/src/jobs/scheduler_state.h
@@ -272,7 +272,7 @@
   /// A long-running task runs there and isn't at work yet, or may run there.
   bool HasStartingTask(const EndpointState& endpoint);
   bool IsWithinCap(const JobState& job, const Resources& need) const;
-  void Tell(Note note);
+  void Tell(DecisionEvent note);
 
   const SchedulerOptions options;
   const std::uint64_t token;
@@ -299,7 +299,7 @@
   /// Tasks whose start or stop may have to be sent again.
   std::set<TaskKey> unsettled;
   std::vector<PaceOrder> paces;
-  std::vector<Note> notes;
+  std::vector<DecisionEvent> notes;
   std::uint64_t notes_dropped = 0;
   bool is_superseded = false;
   /// Some endpoint may have runs that nobody here knows.
--- a/src/jobs/scheduler_views.cc
+++ b/src/jobs/scheduler_views.cc
@@ -95,7 +95,7 @@
   }
 }
 
-void Scheduler::SetDue(const std::set<std::string>& endpoints) {
+void Scheduler::SetUpcomingReboots(const std::set<std::string>& endpoints) {
   for (const auto& [id, endpoint] : this->impl->state.endpoints) {
     endpoint->is_due = endpoints.contains(id);
   }
@@ -109,12 +109,12 @@
   return endpoint->claims.empty() ? EvacuationState::kEmpty : EvacuationState::kRunning;
 }
 
-std::optional<EndpointUse> Scheduler::UseOf(const std::string& id) const {
+std::optional<EndpointUsage> Scheduler::UsageOf(const std::string& id) const {
   const EndpointState* endpoint = this->impl->state.FindEndpoint(id);
   if (endpoint == nullptr) {
     return std::nullopt;
   }
-  EndpointUse use;
+  EndpointUsage use;
   use.used = endpoint->used;
   use.is_empty = endpoint->claims.empty() && endpoint->strays.empty();
   use.is_silent = endpoint->is_silent;
@@ -268,8 +268,8 @@
   return ids;
 }
 
-std::vector<Note> Scheduler::TakeNotes() {
-  std::vector<Note> notes = std::move(this->impl->state.notes);
+std::vector<DecisionEvent> Scheduler::TakeEvents() {
+  std::vector<DecisionEvent> notes = std::move(this->impl->state.notes);
   this->impl->state.notes.clear();
   return notes;
 }
--- a/tests/job_entry/vm_driver_test.cc
+++ b/tests/job_entry/vm_driver_test.cc
@@ -5,7 +5,7 @@
 #include <gtest/gtest.h>
 
 #include "tests/job_entry/fake_fleet.h"
-#include "tests/jobs/scheduler_world.h"
+#include "tests/jobs/scheduler_harness.h"
 
 namespace chervilspar::job_entry {
 namespace {
@@ -45,7 +45,7 @@
   void Register() {
     std::vector<jobs::EndpointRecord> records;
     for (const jobs::VmRecord& vm : this->fleet.vms.vms) {
-      records.push_back(jobs::SchedulerWorld::Endpoint(vm.endpoint));
+      records.push_back(jobs::SchedulerHarness::Endpoint(vm.endpoint));
     }
     this->world.Register(records);
   }
@@ -76,7 +76,7 @@
   asio::io_context io;
   FakeFleet fleet;
   FakeEntry entry{this->io, this->fleet.store, this->fleet.endpoints, this->fleet.vms, "a"};
-  jobs::SchedulerWorld world;
+  jobs::SchedulerHarness world;
   std::shared_ptr<int> owner = std::make_shared<int>(0);
   VmDriver driver{this->entry.context,
                   this->entry.operators,
@@ -115,10 +115,10 @@
   world.fleet.vms.is_busy = true;
   world.Start();
   world.RunUntil(std::chrono::seconds(2), [&] { return !world.fleet.vms.tokens.empty(); });
-  jobs::Step step = jobs::SchedulerWorld::MakeStep(2);
+  jobs::Step step = jobs::SchedulerHarness::MakeStep(2);
   step.is_long_running = true;
   step.max_per_endpoint = 1;
-  world.world.scheduler.AddJob(jobs::SchedulerWorld::MakeJob(1, {step}), WallTime{});
+  world.world.scheduler.AddJob(jobs::SchedulerHarness::MakeJob(1, {step}), WallTime{});
   std::set<std::string> endpoints;
   for (const jobs::StartOrder& start : world.world.Round().starts) {
     endpoints.insert(start.endpoint);
@@ -190,7 +190,7 @@
   GetParam().change(world);
   world.io.run_for(milliseconds(500));
   world.world.scheduler.AddJob(
-      jobs::SchedulerWorld::MakeJob(1, {jobs::SchedulerWorld::MakeStep(1)}), WallTime{});
+      jobs::SchedulerHarness::MakeJob(1, {jobs::SchedulerHarness::MakeStep(1)}), WallTime{});
   EXPECT_TRUE(world.world.Round().starts.empty());
 }
 
@@ -222,7 +222,7 @@
   world.Register();
   world.io.run_for(milliseconds(1500));
   world.world.scheduler.AddJob(
-      jobs::SchedulerWorld::MakeJob(1, {jobs::SchedulerWorld::MakeStep(8, 8000)}), WallTime{});
+      jobs::SchedulerHarness::MakeJob(1, {jobs::SchedulerHarness::MakeStep(8, 8000)}), WallTime{});
   // The pool is sized for the job first; until then idle VMs are free to be moved.
   std::set<std::string> started;
   for (int round = 0; round < 2; ++round) {
--- a/tests/jobs/gang_test.cc
+++ b/tests/jobs/gang_test.cc
@@ -3,13 +3,13 @@
 
 #include <gtest/gtest.h>
 
-#include "tests/jobs/scheduler_world.h"
+#include "tests/jobs/scheduler_harness.h"
 
 namespace chervilspar::jobs {
 namespace {
 
 using std::chrono::milliseconds;
-using World = SchedulerWorld;
+using World = SchedulerHarness;
 
 /// Endpoints end a member that has waited this long for the others.
 constexpr Duration kMembersWait = std::chrono::seconds(3);
@@ -59,8 +59,8 @@
   while (world.now < end && !is_stopped) {
     world.scheduler.SetProof(world.now);
     GetParam().happen(world, At(starts, "b"));
-    world.Pass(kRenewal);
-    world.Hold("a", {World::Active(At(starts, "a"))}, {});
+    world.AdvanceTime(kRenewal);
+    world.AnswerRenewal("a", {World::Active(At(starts, "a"))}, {});
     const Orders orders = world.Round();
     is_stopped = std::any_of(orders.stops.begin(), orders.stops.end(),
                              [](const StopOrder& stop) { return stop.endpoint == "a"; });
@@ -83,7 +83,7 @@
                       MemberCase{"refused_after_a_lost_answer",
                                  [](World& world, const StartOrder& start) {
                                    Answer(world, start, OrderOutcome::kNoAnswer);
-                                   world.Pass(SchedulerOptions{}.start_retry);
+                                   world.AdvanceTime(SchedulerOptions{}.start_retry);
                                    world.Round();
                                    Answer(world, start, OrderOutcome::kNoRoom);
                                  },
@@ -91,14 +91,14 @@
                       MemberCase{"confirmed_and_not_listed",
                                  [](World& world, const StartOrder& start) {
                                    Confirm(world, start);
-                                   world.Pass(kRenewal);
-                                   world.Hold("b", {}, {});
+                                   world.AdvanceTime(kRenewal);
+                                   world.AnswerRenewal("b", {}, {});
                                  },
                                  kMembersWait},
                       MemberCase{"its_endpoint_started_anew",
                                  [](World& world, const StartOrder& start) {
                                    Confirm(world, start);
-                                   world.Hold("b", {}, {}, 2);
+                                   world.AnswerRenewal("b", {}, {}, 2);
                                  },
                                  kMembersWait},
                       MemberCase{"another_endpoint_at_its_address",
@@ -109,8 +109,8 @@
                       MemberCase{"lease_lapsed",
                                  [](World& world, const StartOrder& start) {
                                    Confirm(world, start);
-                                   world.scheduler.OnHoldFailed("b", OrderOutcome::kNoAnswer,
-                                                                world.now);
+                                   world.scheduler.OnRenewalFailed("b", OrderOutcome::kNoAnswer,
+                                                                   world.now);
                                  },
                                  SchedulerOptions{}.LongestLease() + std::chrono::seconds(1)}),
     [](const auto& info) { return info.param.name; });
@@ -126,8 +126,8 @@
   after.scheduler.SetEndpoints(before.endpoints, after.now);
   after.scheduler.AddJob(MakeGang(), WallTime{});
   after.scheduler.RestoreProgress(JobId{1}, *DecodeProgress(before.stored.at(JobId{1})));
-  after.Hold("a", {World::Active(At(starts, "a"))}, {});
-  after.Hold("b", {}, {});
+  after.AnswerRenewal("a", {World::Active(At(starts, "a"))}, {});
+  after.AnswerRenewal("b", {}, {});
   const Orders orders = after.Round();
   ASSERT_EQ(orders.stops.size(), 1U);
   EXPECT_EQ(orders.stops[0].endpoint, "a");
@@ -156,30 +156,34 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Changes, GangBeingStored,
-    ::testing::Values(
-        WithdrawalCase{
-            "emptied",
-            [](World& world, const std::string& id) { world.scheduler.BeginEvacuation(id); }},
-        WithdrawalCase{"draining",
-                       [](World& world, const std::string& id) {
-                         for (EndpointRecord& record : world.endpoints) {
-                           record.is_draining = record.id == id;
-                         }
-                         world.scheduler.SetEndpoints(world.endpoints, world.now);
-                       }},
-        WithdrawalCase{"unregistered",
-                       [](World& world, const std::string& id) {
-                         std::erase_if(world.endpoints, [&](const EndpointRecord& record) {
-                           return record.id == id;
-                         });
-                         world.scheduler.SetEndpoints(world.endpoints, world.now);
-                       }},
-        WithdrawalCase{"another_endpoint_at_its_address",
-                       [](World& world, const std::string& id) {
-                         world.scheduler.OnHoldFailed(id, OrderOutcome::kOtherLife, world.now);
-                       }},
-        WithdrawalCase{"started_anew",
-                       [](World& world, const std::string& id) { world.Hold(id, {}, {}, 2); }}),
+    ::testing::Values(WithdrawalCase{"emptied",
+                                     [](World& world, const std::string& id) {
+                                       world.scheduler.BeginEvacuation(id);
+                                     }},
+                      WithdrawalCase{"draining",
+                                     [](World& world, const std::string& id) {
+                                       for (EndpointRecord& record : world.endpoints) {
+                                         record.is_draining = record.id == id;
+                                       }
+                                       world.scheduler.SetEndpoints(world.endpoints, world.now);
+                                     }},
+                      WithdrawalCase{"unregistered",
+                                     [](World& world, const std::string& id) {
+                                       std::erase_if(world.endpoints,
+                                                     [&](const EndpointRecord& record) {
+                                                       return record.id == id;
+                                                     });
+                                       world.scheduler.SetEndpoints(world.endpoints, world.now);
+                                     }},
+                      WithdrawalCase{"another_endpoint_at_its_address",
+                                     [](World& world, const std::string& id) {
+                                       world.scheduler.OnRenewalFailed(id, OrderOutcome::kOtherLife,
+                                                                       world.now);
+                                     }},
+                      WithdrawalCase{"started_anew",
+                                     [](World& world, const std::string& id) {
+                                       world.AnswerRenewal(id, {}, {}, 2);
+                                     }}),
     [](const auto& info) { return info.param.name; });
 
 }  // namespace
--- a/tests/jobs/interim_leases_test.cc
+++ b/tests/jobs/interim_leases_test.cc
@@ -2,13 +2,13 @@
 
 #include <gtest/gtest.h>
 
-#include "tests/jobs/scheduler_world.h"
+#include "tests/jobs/scheduler_harness.h"
 
 namespace chervilspar::jobs {
 namespace {
 
 using std::chrono::milliseconds;
-using World = SchedulerWorld;
+using World = SchedulerHarness;
 
 constexpr std::uint64_t kToken = 5;
 constexpr std::int64_t kClockMs = 70000;
--- a/tests/jobs/lapse_notice_test.cc
+++ b/tests/jobs/lapse_notice_test.cc
@@ -4,14 +4,14 @@
 
 #include <gtest/gtest.h>
 
-#include "tests/jobs/scheduler_world.h"
+#include "tests/jobs/scheduler_harness.h"
 
 namespace chervilspar::jobs {
 namespace {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using World = SchedulerWorld;
+using World = SchedulerHarness;
 
 /// Owners that follow one another in one store, each with the next token. An endpoint has fallen
 /// silent with a task on it.
@@ -53,17 +53,18 @@
     const TimePoint end = this->world->now + span;
     while (this->world->now < end && starts.empty()) {
       this->world->scheduler.SetProof(this->world->now);
-      this->world->Hold(this->other, {}, {});
-      const HoldPlan plan = this->world->scheduler.PlanHold(this->start.endpoint, this->world->now);
+      this->world->AnswerRenewal(this->other, {}, {});
+      const RenewalPlan plan =
+          this->world->scheduler.PlanRenewal(this->start.endpoint, this->world->now);
       if (plan.order.lease_end_ms) {
         this->renewed = this->Now();
       }
-      this->world->scheduler.OnHoldFailed(this->start.endpoint, OrderOutcome::kNoAnswer,
-                                          this->world->now);
+      this->world->scheduler.OnRenewalFailed(this->start.endpoint, OrderOutcome::kNoAnswer,
+                                             this->world->now);
       for (const StartOrder& order : this->world->Round().starts) {
         starts.push_back(order);
       }
-      this->world->Pass(milliseconds(100));
+      this->world->AdvanceTime(milliseconds(100));
     }
     return starts;
   }
@@ -71,7 +72,7 @@
   /// The endpoint answers again.
   void Return(std::vector<ActiveRun> active) {
     this->world->scheduler.SetProof(this->world->now);
-    this->world->Hold(this->start.endpoint, std::move(active), {});
+    this->world->AnswerRenewal(this->start.endpoint, std::move(active), {});
   }
 
   /// Over all owners.
@@ -116,7 +117,7 @@
   EXPECT_EQ(starts[0].endpoint, owners.other);
   // One wait for a predecessor, and for each change the pause until a silence is noticed.
   const Duration wait = options.predecessor_grace + options.LongestLease();
-  const Duration notice = options.silence + seconds(1);
+  const Duration notice = options.unresponsive_after + seconds(1);
   EXPECT_LT(owners.Now() - owners.began, wait + GetParam().owners * notice);
   EXPECT_GT(owners.Now() - owners.renewed, options.lease) << "while its lease may last";
 }
@@ -146,16 +147,16 @@
   ASSERT_EQ(owners.world->lapses.size(), 1U);
   const std::string silent = owners.start.endpoint;
   owners.Return({World::Active(owners.start)});
-  EXPECT_FALSE(owners.world->scheduler.PlanHold(silent, owners.world->now).order.lease_end_ms);
+  EXPECT_FALSE(owners.world->scheduler.PlanRenewal(silent, owners.world->now).order.lease_end_ms);
   owners.world->scheduler.AddJob(World::MakeJob(2, {World::MakeStep(12)}), WallTime{});
   for (const StartOrder& order : owners.world->Round().starts) {
     EXPECT_NE(order.endpoint, silent);
   }
-  owners.world->Pass(milliseconds(30));
+  owners.world->AdvanceTime(milliseconds(30));
   owners.world->Round();
   EXPECT_TRUE(owners.world->lapses.empty());
   owners.world->scheduler.SetProof(owners.world->now);
-  EXPECT_TRUE(owners.world->scheduler.PlanHold(silent, owners.world->now).order.lease_end_ms);
+  EXPECT_TRUE(owners.world->scheduler.PlanRenewal(silent, owners.world->now).order.lease_end_ms);
 }
 
 /// Guards against a notice that stays when its endpoint is gone, and is taken for one about the
--- a/tests/jobs/lease_clock_test.cc
+++ b/tests/jobs/lease_clock_test.cc
@@ -1,11 +1,11 @@
 #include <gtest/gtest.h>
 
-#include "tests/jobs/scheduler_world.h"
+#include "tests/jobs/scheduler_harness.h"
 
 namespace chervilspar::jobs {
 namespace {
 
-using World = SchedulerWorld;
+using World = SchedulerHarness;
 using Seconds = std::chrono::duration<double>;
 
 /// The slowest clock that an endpoint may have.
@@ -18,7 +18,7 @@
   IdleEndpoint() {
     this->world.Register({World::Endpoint("a")});
     this->read = this->world.now;
-    this->world.Pass(std::chrono::seconds(GetParam()));
+    this->world.AdvanceTime(std::chrono::seconds(GetParam()));
   }
 
   /// How long a lease lasts from now on by our clock, if the endpoint's is as slow as may be.
@@ -42,7 +42,7 @@
   EXPECT_LE(this->LeaseUntil(start.lease_end_ms), longest);
   EXPECT_GE(this->LeaseUntil(start.lease_end_ms), std::chrono::seconds(2)) << "it has to begin";
   this->world.scheduler.OnStartAnswered(start, OrderOutcome::kDone, this->world.now);
-  const HoldPlan plan = this->world.scheduler.PlanHold("a", this->world.now);
+  const RenewalPlan plan = this->world.scheduler.PlanRenewal("a", this->world.now);
   ASSERT_TRUE(plan.order.lease_end_ms);
   EXPECT_LE(this->LeaseUntil(*plan.order.lease_end_ms), longest);
 }
@@ -54,12 +54,12 @@
 TEST(IdleEndpoints, TellTheirClocksOnceAMinute) {
   World world;
   world.Register({World::Endpoint("a")});
-  world.Pass(std::chrono::seconds(59));
-  EXPECT_FALSE(world.scheduler.PlanHold("a", world.now).is_needed);
-  world.Pass(std::chrono::seconds(2));
-  EXPECT_TRUE(world.scheduler.PlanHold("a", world.now).is_needed);
-  world.Hold("a", {}, {});
-  EXPECT_FALSE(world.scheduler.PlanHold("a", world.now).is_needed);
+  world.AdvanceTime(std::chrono::seconds(59));
+  EXPECT_FALSE(world.scheduler.PlanRenewal("a", world.now).is_needed);
+  world.AdvanceTime(std::chrono::seconds(2));
+  EXPECT_TRUE(world.scheduler.PlanRenewal("a", world.now).is_needed);
+  world.AnswerRenewal("a", {}, {});
+  EXPECT_FALSE(world.scheduler.PlanRenewal("a", world.now).is_needed);
 }
 
 }  // namespace
--- a/tests/jobs/pacing_test.cc
+++ b/tests/jobs/pacing_test.cc
@@ -1,11 +1,11 @@
 #include <gtest/gtest.h>
 
-#include "tests/jobs/scheduler_world.h"
+#include "tests/jobs/scheduler_harness.h"
 
 namespace chervilspar::jobs {
 namespace {
 
-using World = SchedulerWorld;
+using World = SchedulerHarness;
 
 /// Response times of the serving task, whose target is 100 ms.
 constexpr std::int64_t kNearTarget = 95;
@@ -41,7 +41,7 @@
       active.push_back(World::Active(start, 100));
       active.back().gauge = start.task.job == JobId{1} ? response_ms : 0;
     }
-    this->world.Hold("a", active, {});
+    this->world.AnswerRenewal("a", active, {});
     return this->world.Round().paces;
   }
 
@@ -74,10 +74,10 @@
     if (orders[0].percent == GetParam().last_pace) {
       break;
     }
-    paced.world.scheduler.OnPaceAnswered(orders[0], OrderOutcome::kDone);
+    paced.world.scheduler.OnThrottleAnswered(orders[0], OrderOutcome::kDone);
   }
   ASSERT_EQ(orders[0].percent, GetParam().last_pace);
-  paced.world.scheduler.OnPaceAnswered(orders[0], GetParam().outcome);
+  paced.world.scheduler.OnThrottleAnswered(orders[0], GetParam().outcome);
   const std::vector<PaceOrder> again = paced.Hear(GetParam().response_ms);
   EXPECT_EQ(!again.empty(), GetParam().is_ordered_again);
   EXPECT_TRUE(again.empty() || again[0] == orders[0]);
--- a/tests/jobs/pool_load_test.cc
+++ b/tests/jobs/pool_load_test.cc
@@ -2,12 +2,12 @@
 
 #include <gtest/gtest.h>
 
-#include "tests/jobs/scheduler_world.h"
+#include "tests/jobs/scheduler_harness.h"
 
 namespace chervilspar::jobs {
 namespace {
 
-using World = SchedulerWorld;
+using World = SchedulerHarness;
 
 /// One task of a core and a second, in the unit of a load.
 constexpr double kAll = 1000.0 * 1000.0;
@@ -33,28 +33,27 @@
   EXPECT_DOUBLE_EQ(load.at_once, 1000.0);
 }
 
-INSTANTIATE_TEST_SUITE_P(Runs, LoadOfOneTask,
-                         ::testing::Values(LoadCase{"ordered", [](World&, const StartOrder&) {},
-                                                    kAll},
-                                           LoadCase{"unanswered",
-                                                    [](World& world, const StartOrder& start) {
-                                                      world.scheduler.OnStartAnswered(
-                                                          start, OrderOutcome::kNoAnswer,
-                                                          world.now);
-                                                    },
-                                                    kAll},
-                                           LoadCase{"confirmed",
-                                                    [](World& world, const StartOrder& start) {
-                                                      world.scheduler.OnStartAnswered(
-                                                          start, OrderOutcome::kDone, world.now);
-                                                    },
-                                                    kAll / 2},
-                                           LoadCase{"listed",
-                                                    [](World& world, const StartOrder& start) {
-                                                      world.Hold("a", {World::Active(start)}, {});
-                                                    },
-                                                    kAll / 2}),
-                         [](const auto& info) { return info.param.name; });
+INSTANTIATE_TEST_SUITE_P(
+    Runs, LoadOfOneTask,
+    ::testing::Values(LoadCase{"ordered", [](World&, const StartOrder&) {}, kAll},
+                      LoadCase{"unanswered",
+                               [](World& world, const StartOrder& start) {
+                                 world.scheduler.OnStartAnswered(start, OrderOutcome::kNoAnswer,
+                                                                 world.now);
+                               },
+                               kAll},
+                      LoadCase{"confirmed",
+                               [](World& world, const StartOrder& start) {
+                                 world.scheduler.OnStartAnswered(start, OrderOutcome::kDone,
+                                                                 world.now);
+                               },
+                               kAll / 2},
+                      LoadCase{"listed",
+                               [](World& world, const StartOrder& start) {
+                                 world.AnswerRenewal("a", {World::Active(start)}, {});
+                               },
+                               kAll / 2}),
+    [](const auto& info) { return info.param.name; });
 
 }  // namespace
 }  // namespace chervilspar::jobs
--- a/tests/jobs/progress_test.cc
+++ b/tests/jobs/progress_test.cc
@@ -6,12 +6,12 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "tests/jobs/scheduler_world.h"
+#include "tests/jobs/scheduler_harness.h"
 
 namespace chervilspar::jobs {
 namespace {
 
-using World = SchedulerWorld;
+using World = SchedulerHarness;
 
 TaskRow Row(std::uint32_t step, std::uint32_t index, TaskProgress progress) {
   return {0, step, index, std::move(progress)};
@@ -248,7 +248,7 @@
     }
     world.scheduler.SetEndpoints(endpoints, world.now);
     for (const EndpointRecord& endpoint : endpoints) {
-      world.Hold(endpoint.id, {}, {}, endpoint.born_ms);
+      world.AnswerRenewal(endpoint.id, {}, {}, endpoint.born_ms);
     }
     std::vector<Step> steps(2, World::MakeStep(8, 19000));
     steps[1].after = {0};
@@ -268,7 +268,7 @@
           active.push_back(World::Active(start));
         }
       }
-      world.Hold(endpoint.id, active, ends, endpoint.born_ms);
+      world.AnswerRenewal(endpoint.id, active, ends, endpoint.born_ms);
     }
     world.Round();
     return world.stored.at(JobId{1});
--- a/tests/jobs/run_races_test.cc
+++ b/tests/jobs/run_races_test.cc
@@ -2,13 +2,13 @@
 
 #include <gtest/gtest.h>
 
-#include "tests/jobs/scheduler_world.h"
+#include "tests/jobs/scheduler_harness.h"
 
 namespace chervilspar::jobs {
 namespace {
 
 using std::chrono::milliseconds;
-using World = SchedulerWorld;
+using World = SchedulerHarness;
 
 WallTime Wall(const World& world) { return WallTime(world.now.time_since_epoch()); }
 
@@ -35,22 +35,22 @@
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
   const StartOrder first = world.Round().starts.at(0);
   world.scheduler.OnStartAnswered(first, OrderOutcome::kNoAnswer, world.now);
-  world.Pass(milliseconds(200));
+  world.AdvanceTime(milliseconds(200));
   const Orders again = world.Round();
   ASSERT_EQ(again.starts.size(), 1U);
   EXPECT_EQ(again.starts.at(0).run, first.run) << "the same run, so that it can't run twice";
   EXPECT_EQ(again.starts.at(0).endpoint, first.endpoint);
   world.scheduler.OnStartAnswered(again.starts.at(0), OrderOutcome::kNoAnswer, world.now);
-  world.Pass(milliseconds(200));
+  world.AdvanceTime(milliseconds(200));
   const Orders stop = world.Round();
   EXPECT_TRUE(stop.starts.empty());
   ASSERT_EQ(stop.stops.size(), 1U);
-  world.Hold(first.endpoint, {}, {});
+  world.AnswerRenewal(first.endpoint, {}, {});
   EXPECT_TRUE(world.Round().starts.empty())
       << "the stop has no answer yet; the order may still run";
   world.scheduler.OnStopAnswered(stop.stops.at(0), OrderOutcome::kDone, world.now);
-  world.Pass(milliseconds(1));
-  world.Hold(first.endpoint, {}, {});
+  world.AdvanceTime(milliseconds(1));
+  world.AnswerRenewal(first.endpoint, {}, {});
   const Orders next = world.Round();
   ASSERT_EQ(next.starts.size(), 1U);
   EXPECT_GT(next.starts.at(0).run, first.run);
@@ -71,7 +71,7 @@
       for (const StartOrder& start : this->starts) {
         this->world.scheduler.OnStartAnswered(start, OrderOutcome::kNoAnswer, this->world.now);
       }
-      this->world.Pass(this->world.options.start_retry);
+      this->world.AdvanceTime(this->world.options.start_retry);
       this->stops = this->world.Round().stops.size();
     }
   }
@@ -83,7 +83,7 @@
       active.push_back(World::Active(this->starts[start]));
       active.back().percent = 100;
     }
-    this->world.Hold(this->starts[start].endpoint, std::move(active), {});
+    this->world.AnswerRenewal(this->starts[start].endpoint, std::move(active), {});
   }
 
   World world;
@@ -110,12 +110,12 @@
   world.Register({World::Endpoint("a")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
   const StartOrder start = world.StartAll().at(0);
-  world.Hold("a", {}, {World::Ended(1, start, RunEnd::kDone)});
+  world.AnswerRenewal("a", {}, {World::Ended(1, start, RunEnd::kDone)});
   EXPECT_EQ(world.PhaseOf(1), JobPhase::kRunning);
-  EXPECT_EQ(world.scheduler.PlanHold("a", world.now).order.confirmed_end, 0U);
+  EXPECT_EQ(world.scheduler.PlanRenewal("a", world.now).order.confirmed_end, 0U);
   world.Store();
   EXPECT_EQ(world.PhaseOf(1), JobPhase::kComplete);
-  EXPECT_EQ(world.scheduler.PlanHold("a", world.now).order.confirmed_end, 1U);
+  EXPECT_EQ(world.scheduler.PlanRenewal("a", world.now).order.confirmed_end, 1U);
 }
 
 /// Endpoints tell an end again until it is confirmed. Counted twice, one failure would use up both
@@ -125,12 +125,12 @@
   world.Register({World::Endpoint("a"), World::Endpoint("b")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
   const StartOrder start = world.StartAll().at(0);
-  world.Hold(start.endpoint, {}, {World::Ended(1, start, RunEnd::kFailed)});
-  world.Hold(start.endpoint, {}, {World::Ended(1, start, RunEnd::kFailed)});
+  world.AnswerRenewal(start.endpoint, {}, {World::Ended(1, start, RunEnd::kFailed)});
+  world.AnswerRenewal(start.endpoint, {}, {World::Ended(1, start, RunEnd::kFailed)});
   const StartOrder second = world.StartAll().at(0);
   EXPECT_NE(second.endpoint, start.endpoint) << "it failed there";
   EXPECT_EQ(world.PhaseOf(1), JobPhase::kRunning);
-  world.Hold(second.endpoint, {}, {World::Ended(1, second, RunEnd::kFailed)});
+  world.AnswerRenewal(second.endpoint, {}, {World::Ended(1, second, RunEnd::kFailed)});
   world.Round();
   EXPECT_EQ(world.PhaseOf(1), JobPhase::kFailed);
 }
@@ -149,7 +149,7 @@
        }},
       {"hold",
        [](World& world, const StartOrder& start) {
-         world.scheduler.OnHoldFailed(start.endpoint, OrderOutcome::kTokenTooLow, world.now);
+         world.scheduler.OnRenewalFailed(start.endpoint, OrderOutcome::kTokenTooLow, world.now);
        }},
       {"stop",
        [](World& world, const StartOrder& start) {
@@ -175,16 +175,16 @@
   world.Register({World::Endpoint("a")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(2)}), Wall(world));
   const std::vector<StartOrder> first = world.StartAll();
-  world.Hold("a", {World::Active(first[1])}, {World::Ended(1, first[0], RunEnd::kDone)});
+  world.AnswerRenewal("a", {World::Active(first[1])}, {World::Ended(1, first[0], RunEnd::kDone)});
   world.Store();
   EndpointRecord reborn = World::Endpoint("a");
   reborn.born_ms = 2;
   world.scheduler.SetEndpoints({reborn}, world.now);
-  world.Hold("a", {}, {}, 2);
+  world.AnswerRenewal("a", {}, {}, 2);
   const std::vector<StartOrder> second = world.StartAll();
   ASSERT_EQ(second.size(), 1U) << "only what had not ended";
   EXPECT_EQ(second[0].task, first[1].task);
-  world.Hold("a", {}, {World::Ended(1, second[0], RunEnd::kDone)}, 2);
+  world.AnswerRenewal("a", {}, {World::Ended(1, second[0], RunEnd::kDone)}, 2);
   world.Store();
   EXPECT_EQ(world.PhaseOf(1), JobPhase::kComplete);
 }
@@ -206,14 +206,14 @@
   const StartOrder start = world.Round().starts.at(0);
   GetParam().happen(world, start);
   world.scheduler.SetEndpoints({World::Endpoint("a"), World::Endpoint("b")}, world.now);
-  world.Hold("b", {}, {});
-  world.Hold("a", {}, {}, 2);
+  world.AnswerRenewal("b", {}, {});
+  world.AnswerRenewal("a", {}, {}, 2);
   const Orders orders = world.Round();
   EXPECT_TRUE(orders.starts.empty());
   ASSERT_EQ(orders.stops.size(), 1U);
   world.scheduler.OnStopAnswered(orders.stops[0], OrderOutcome::kDone, world.now);
-  world.Pass(milliseconds(1));
-  world.Hold("a", {}, {}, 2);
+  world.AdvanceTime(milliseconds(1));
+  world.AnswerRenewal("a", {}, {}, 2);
   EXPECT_EQ(world.Round().starts.size(), 1U);
 }
 
@@ -222,7 +222,7 @@
   std::vector<StopOrder> stops;
   for (int i = 0; i < 3 && stops.empty(); ++i) {
     world.scheduler.OnStartAnswered(start, OrderOutcome::kNoAnswer, world.now);
-    world.Pass(world.options.start_retry);
+    world.AdvanceTime(world.options.start_retry);
     stops = world.Round().stops;
   }
   return stops;
@@ -258,16 +258,16 @@
   world.Register({World::Endpoint("a")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(2)}), Wall(world));
   const std::vector<StartOrder> starts = world.StartAll();
-  world.Hold("a", {World::Active(starts[1])}, {World::Ended(1, starts[0], RunEnd::kDone)});
+  world.AnswerRenewal("a", {World::Active(starts[1])}, {World::Ended(1, starts[0], RunEnd::kDone)});
   world.Store();
-  EXPECT_EQ(world.scheduler.PlanHold("a", world.now).order.confirmed_end, 1U);
-  world.scheduler.OnHoldFailed("a", OrderOutcome::kNoAnswer, world.now);
-  EXPECT_EQ(world.scheduler.PlanHold("a", world.now).order.confirmed_end, 0U)
+  EXPECT_EQ(world.scheduler.PlanRenewal("a", world.now).order.confirmed_end, 1U);
+  world.scheduler.OnRenewalFailed("a", OrderOutcome::kNoAnswer, world.now);
+  EXPECT_EQ(world.scheduler.PlanRenewal("a", world.now).order.confirmed_end, 0U)
       << "it may have started anew";
-  world.Hold("a", {World::Active(starts[1])}, {World::Ended(1, starts[0], RunEnd::kDone)});
-  EXPECT_EQ(world.scheduler.PlanHold("a", world.now).order.confirmed_end, 1U);
-  world.Hold("a", {World::Active(starts[1])}, {});
-  EXPECT_EQ(world.scheduler.PlanHold("a", world.now).order.confirmed_end, 0U)
+  world.AnswerRenewal("a", {World::Active(starts[1])}, {World::Ended(1, starts[0], RunEnd::kDone)});
+  EXPECT_EQ(world.scheduler.PlanRenewal("a", world.now).order.confirmed_end, 1U);
+  world.AnswerRenewal("a", {World::Active(starts[1])}, {});
+  EXPECT_EQ(world.scheduler.PlanRenewal("a", world.now).order.confirmed_end, 0U)
       << "there is nothing left to confirm";
 }
 
@@ -297,14 +297,14 @@
   EndpointRecord reborn = World::Endpoint("a");
   reborn.born_ms = 2;
   world.scheduler.SetEndpoints({reborn, World::Endpoint("b")}, world.now);
-  world.Hold("b", {}, {});
+  world.AnswerRenewal("b", {}, {});
   EXPECT_TRUE(world.Round().starts.empty()) << "the new life may run it";
   const std::vector<ActiveRun> active = {World::Active(start)};
   const std::vector<EndedRun> ended = {World::Ended(1, start, RunEnd::kDone)};
-  EXPECT_FALSE(world.scheduler.PlanHold("a", world.now).order.lease_end_ms)
+  EXPECT_FALSE(world.scheduler.PlanRenewal("a", world.now).order.lease_end_ms)
       << "the former life's clock says nothing of the new one's";
-  world.Hold("a", GetParam().is_active ? active : std::vector<ActiveRun>{},
-             GetParam().is_done ? ended : std::vector<EndedRun>{}, 2);
+  world.AnswerRenewal("a", GetParam().is_active ? active : std::vector<ActiveRun>{},
+                      GetParam().is_done ? ended : std::vector<EndedRun>{}, 2);
   const Orders next = world.Round();
   EXPECT_EQ(!next.starts.empty(), GetParam().is_started_again);
   EXPECT_EQ(world.PhaseOf(1), GetParam().phase);
@@ -332,14 +332,14 @@
   world.Register({World::Endpoint("a")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
   world.StartAll();
-  world.scheduler.OnHoldFailed("a", OrderOutcome::kNoAnswer, world.now);
+  world.scheduler.OnRenewalFailed("a", OrderOutcome::kNoAnswer, world.now);
   world.scheduler.SetEndpoints({World::Endpoint("a"), World::Endpoint("b")}, world.now);
-  world.Hold("b", {}, {});
-  world.Pass(world.options.lease - milliseconds(100));
+  world.AnswerRenewal("b", {}, {});
+  world.AdvanceTime(world.options.lease - milliseconds(100));
   EXPECT_TRUE(world.Round().starts.empty());
-  EXPECT_FALSE(world.scheduler.PlanHold("a", world.now).order.lease_end_ms)
+  EXPECT_FALSE(world.scheduler.PlanRenewal("a", world.now).order.lease_end_ms)
       << "only a look: a renewal would keep the lost work alive";
-  world.Pass(milliseconds(800));
+  world.AdvanceTime(milliseconds(800));
   const Orders orders = world.Round();
   ASSERT_EQ(orders.starts.size(), 1U);
   EXPECT_EQ(orders.starts[0].endpoint, "b");
@@ -383,7 +383,7 @@
   world.scheduler.AddJob(job, Wall(world));
   world.scheduler.AddJob(job, Wall(world));
   const StartOrder start = world.StartAll().at(0);
-  world.Hold("a", {}, {World::Ended(1, start, RunEnd::kDone)});
+  world.AnswerRenewal("a", {}, {World::Ended(1, start, RunEnd::kDone)});
   world.Store();
   world.scheduler.AddJob(job, Wall(world));
   EXPECT_TRUE(world.Round().starts.empty());
@@ -400,11 +400,12 @@
   world.policy.teams[TeamId{"counter"}].cap = {2000, 0, 0};
   world.scheduler.SetPolicy(world.policy);
   world.scheduler.AddJob(World::MakeJob(2, {World::MakeStep(1)}), Wall(world));
-  world.Hold(
+  world.AnswerRenewal(
       "a", {World::Active(running[2]), World::Active(running[3])},
       {World::Ended(1, running[0], RunEnd::kDone), World::Ended(2, running[1], RunEnd::kDone)});
   EXPECT_TRUE(world.Round().starts.empty()) << "two are still running";
-  world.Hold("a", {World::Active(running[3])}, {World::Ended(3, running[2], RunEnd::kDone)});
+  world.AnswerRenewal("a", {World::Active(running[3])},
+                      {World::Ended(3, running[2], RunEnd::kDone)});
   EXPECT_EQ(world.Round().starts.size(), 1U);
 }
 
@@ -416,14 +417,14 @@
   world.Register({World::Endpoint("a")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
   world.scheduler.OnStartAnswered(world.Round().starts.at(0), OrderOutcome::kNoAnswer, world.now);
-  world.Pass(SchedulerOptions{}.start_retry);
+  world.AdvanceTime(SchedulerOptions{}.start_retry);
   const StartOrder second = world.Round().starts.at(0);
   world.scheduler.OnStartAnswered(second, OrderOutcome::kDone, world.now);
   EndpointRecord reborn = World::Endpoint("a");
   reborn.born_ms = 2;
   world.scheduler.SetEndpoints({reborn, World::Endpoint("b")}, world.now);
-  world.Hold("b", {}, {});
-  world.Hold("a", {}, {}, 2);
+  world.AnswerRenewal("b", {}, {});
+  world.AnswerRenewal("a", {}, {}, 2);
   EXPECT_TRUE(world.Round().starts.empty());
 }
 
--- a/tests/jobs/scheduler_world.h
+++ b/tests/jobs/scheduler_harness.h
@@ -10,9 +10,9 @@
 
 /// Drives a scheduler by hand: time, endpoints that answer as they are told, and a store that
 /// confirms when it is told.
-class SchedulerWorld {
+class SchedulerHarness {
  public:
-  explicit SchedulerWorld(SchedulerOptions options = {}, std::uint64_t token = 1)
+  explicit SchedulerHarness(SchedulerOptions options = {}, std::uint64_t token = 1)
       : options(options), scheduler(options, token, TimePoint{}) {
     Policy policy;
     policy.version = 1;
@@ -65,16 +65,16 @@
     this->endpoints = records;
     this->scheduler.SetEndpoints(records, this->now);
     for (const EndpointRecord& record : records) {
-      this->Hold(record.id, {}, {});
+      this->AnswerRenewal(record.id, {}, {});
     }
   }
 
-  void Pass(Duration span) { this->now += span; }
+  void AdvanceTime(Duration span) { this->now += span; }
 
   /// The endpoint answers a renewal that is sent now.
-  void Hold(const std::string& id, std::vector<ActiveRun> active, std::vector<EndedRun> ended,
-            std::int64_t born_ms = 1) {
-    const HoldPlan plan = this->scheduler.PlanHold(id, this->now);
+  void AnswerRenewal(const std::string& id, std::vector<ActiveRun> active,
+                     std::vector<EndedRun> ended, std::int64_t born_ms = 1) {
+    const RenewalPlan plan = this->scheduler.PlanRenewal(id, this->now);
     HoldReport report;
     report.born_ms = born_ms;
     report.clock_ms =
@@ -83,8 +83,8 @@
     report.ended = std::move(ended);
     this->last_hold = plan.order;
     const TimePoint sent = this->now;
-    this->Pass(std::chrono::milliseconds(1));
-    this->scheduler.OnHeld(plan.order, report, sent, this->now);
+    this->AdvanceTime(std::chrono::milliseconds(1));
+    this->scheduler.OnRenewalAnswered(plan.order, report, sent, this->now);
   }
 
   /// Decides, stores, and gives all orders that came of it.
@@ -96,7 +96,7 @@
   }
 
   Orders Decide() {
-    this->Pass(std::chrono::milliseconds(1));
+    this->AdvanceTime(std::chrono::milliseconds(1));
     return this->scheduler.Decide(this->now, WallTime(this->now.time_since_epoch()));
   }
 
@@ -124,7 +124,7 @@
     for (const StartOrder& start : starts) {
       this->scheduler.OnStartAnswered(start, OrderOutcome::kDone, this->now);
     }
-    this->Pass(std::chrono::milliseconds(1));
+    this->AdvanceTime(std::chrono::milliseconds(1));
     return starts;
   }
 
--- a/tests/jobs/scheduler_test.cc
+++ b/tests/jobs/scheduler_test.cc
@@ -3,13 +3,13 @@
 
 #include <gtest/gtest.h>
 
-#include "tests/jobs/scheduler_world.h"
+#include "tests/jobs/scheduler_harness.h"
 
 namespace chervilspar::jobs {
 namespace {
 
 using std::chrono::milliseconds;
-using World = SchedulerWorld;
+using World = SchedulerHarness;
 
 WallTime Wall(const World& world) { return WallTime(world.now.time_since_epoch()); }
 
@@ -84,9 +84,9 @@
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(2), second}), Wall(world));
   const std::vector<StartOrder> first = world.StartAll();
   ASSERT_EQ(first.size(), 2U);
-  world.Hold("a", {World::Active(first[1])}, {World::Ended(1, first[0], RunEnd::kDone)});
+  world.AnswerRenewal("a", {World::Active(first[1])}, {World::Ended(1, first[0], RunEnd::kDone)});
   EXPECT_TRUE(world.StartAll().empty());
-  world.Hold("a", {}, {World::Ended(2, first[1], RunEnd::kDone)});
+  world.AnswerRenewal("a", {}, {World::Ended(2, first[1], RunEnd::kDone)});
   const std::vector<StartOrder> next = world.StartAll();
   ASSERT_EQ(next.size(), 1U);
   EXPECT_EQ(next[0].task.step, 1U);
@@ -103,15 +103,16 @@
   const std::vector<StartOrder> first = world.StartAll();
   ASSERT_EQ(first.size(), 2U);
   EXPECT_EQ(first[0].run, first[1].run);
-  world.Hold("a", {World::Active(first[1])}, {World::Ended(1, first[0], RunEnd::kStopped, "half")});
+  world.AnswerRenewal("a", {World::Active(first[1])},
+                      {World::Ended(1, first[0], RunEnd::kStopped, "half")});
   EXPECT_TRUE(world.StartAll().empty());
-  world.Hold("a", {}, {World::Ended(2, first[1], RunEnd::kGangBroken)});
+  world.AnswerRenewal("a", {}, {World::Ended(2, first[1], RunEnd::kGangBroken)});
   const std::vector<StartOrder> second = world.StartAll();
   ASSERT_EQ(second.size(), 2U);
   EXPECT_EQ(second[0].run, second[1].run);
   EXPECT_EQ(second[0].checkpoint, "half");
   EXPECT_EQ(second[1].checkpoint, "half");
-  world.Hold("a", {}, {World::Ended(3, second[0], RunEnd::kDone)});
+  world.AnswerRenewal("a", {}, {World::Ended(3, second[0], RunEnd::kDone)});
   world.Store();
   EXPECT_EQ(world.PhaseOf(1), JobPhase::kComplete) << "one end stands for all";
 }
@@ -129,8 +130,8 @@
     const std::vector<StartOrder> starts = world.StartAll();
     ASSERT_EQ(starts.size(), 1U) << ToString(end);
     const std::string where = starts[0].endpoint;
-    world.Hold(where, {}, {World::Ended(++ends[where], starts[0], end)});
-    world.Pass(std::chrono::seconds(2));
+    world.AnswerRenewal(where, {}, {World::Ended(++ends[where], starts[0], end)});
+    world.AdvanceTime(std::chrono::seconds(2));
   }
   EXPECT_EQ(world.PhaseOf(1), JobPhase::kRunning);
 }
@@ -152,8 +153,9 @@
   const std::vector<StartOrder> second = world.StartAll();
   ASSERT_EQ(second.size(), 1U);
   EXPECT_EQ(second[0].task.occurrence, 1U);
-  world.Hold("a", {},
-             {World::Ended(1, first[0], RunEnd::kDone), World::Ended(2, second[0], RunEnd::kDone)});
+  world.AnswerRenewal(
+      "a", {},
+      {World::Ended(1, first[0], RunEnd::kDone), World::Ended(2, second[0], RunEnd::kDone)});
   world.Store();
   EXPECT_EQ(world.PhaseOf(1), JobPhase::kComplete);
 }
@@ -170,11 +172,11 @@
   fresh.taken_ms = 30000;
   world.scheduler.AddJob(late, Wall(world));
   world.scheduler.AddJob(fresh, Wall(world));
-  world.Hold("a", {}, {});
+  world.AnswerRenewal("a", {}, {});
   const std::vector<StartOrder> starts = world.StartAll();
   ASSERT_EQ(starts.size(), 1U);
   EXPECT_EQ(starts[0].task.job, JobId{2});
-  world.Hold("a", {}, {World::Ended(1, starts[0], RunEnd::kDone)});
+  world.AnswerRenewal("a", {}, {World::Ended(1, starts[0], RunEnd::kDone)});
   EXPECT_EQ(world.StartAll().at(0).task.job, JobId{1}) << "late ones fill what is left";
 }
 
@@ -208,13 +210,13 @@
   }
   const std::vector<StartOrder> starts = world.StartAll();
   ASSERT_EQ(starts.size(), 3U);
-  world.Hold(
+  world.AnswerRenewal(
       "a", {},
       {World::Ended(1, starts[0], RunEnd::kFailed), World::Ended(2, starts[1], RunEnd::kFailed),
        World::Ended(3, starts[2], RunEnd::kFailed)});
   EXPECT_TRUE(world.StartAll().empty());
-  world.Pass(world.options.ejection + milliseconds(1));
-  world.Hold("a", {}, {});
+  world.AdvanceTime(world.options.ejection + milliseconds(1));
+  world.AnswerRenewal("a", {}, {});
   EXPECT_EQ(world.StartAll().size(), 3U);
 }
 
@@ -225,12 +227,12 @@
   world.Register({World::Endpoint("a"), World::Endpoint("b")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
   const StartOrder start = world.StartAll().at(0);
-  world.Hold(start.endpoint, {World::Active(start, 10)}, {});
-  world.Pass(world.options.stall + milliseconds(10));
-  world.Hold(start.endpoint, {World::Active(start, 10)}, {});
+  world.AnswerRenewal(start.endpoint, {World::Active(start, 10)}, {});
+  world.AdvanceTime(world.options.stall_timeout + milliseconds(10));
+  world.AnswerRenewal(start.endpoint, {World::Active(start, 10)}, {});
   const Orders orders = world.Round();
   ASSERT_EQ(orders.stops.size(), 1U);
-  world.Hold(start.endpoint, {}, {World::Ended(1, start, RunEnd::kStopped, "saved")});
+  world.AnswerRenewal(start.endpoint, {}, {World::Ended(1, start, RunEnd::kStopped, "saved")});
   const StartOrder again = world.StartAll().at(0);
   EXPECT_NE(again.endpoint, start.endpoint);
   EXPECT_EQ(again.checkpoint, "saved");
@@ -252,13 +254,13 @@
     for (const StartOrder& start : this->world.StartAll()) {
       this->running[start.endpoint] = start;
     }
-    this->world.Pass(std::chrono::seconds(3));
+    this->world.AdvanceTime(std::chrono::seconds(3));
     this->HoldAll(100);
   }
 
   void HoldAll(int percent) {
     for (const auto& [endpoint, start] : this->running) {
-      this->world.Hold(endpoint, {World::Active(start, percent)}, {});
+      this->world.AnswerRenewal(endpoint, {World::Active(start, percent)}, {});
     }
   }
 
@@ -273,7 +275,7 @@
 }
 
 TEST_F(EvacuationTest, EndsNoneWhileASiblingsEndpointIsSilent) {
-  this->world.scheduler.OnHoldFailed("c", OrderOutcome::kNoAnswer, this->world.now);
+  this->world.scheduler.OnRenewalFailed("c", OrderOutcome::kNoAnswer, this->world.now);
   this->world.scheduler.BeginEvacuation("a");
   EXPECT_TRUE(this->world.Round().stops.empty());
 }
@@ -282,13 +284,13 @@
 TEST_F(EvacuationTest, TakesATaskWithoutNewsToBeAtWork) {
   this->world.scheduler.BeginEvacuation("a");
   this->world.scheduler.BeginEvacuation("b");
-  this->world.Pass(std::chrono::seconds(2));
+  this->world.AdvanceTime(std::chrono::seconds(2));
   EXPECT_TRUE(this->world.Round().stops.empty());
 }
 
 TEST_F(EvacuationTest, EndsNoneWhileASiblingIsStarting) {
   this->HoldAll(100);
-  this->world.Hold("c", {World::Active(this->running["c"], 20)}, {});
+  this->world.AnswerRenewal("c", {World::Active(this->running["c"], 20)}, {});
   this->world.scheduler.BeginEvacuation("a");
   EXPECT_TRUE(this->world.Round().stops.empty());
 }
@@ -296,18 +298,20 @@
 /// Guards against a wave that waits for the next look to learn that a moved task is at work.
 TEST_F(EvacuationTest, LooksSoonerWhileATaskStarts) {
   const SchedulerOptions options;
-  EXPECT_EQ(this->world.scheduler.PlanHold("a", this->world.now).order.wait, options.hold_wait);
+  EXPECT_EQ(this->world.scheduler.PlanRenewal("a", this->world.now).order.wait,
+            options.renewal_wait);
   this->HoldAll(40);
-  EXPECT_EQ(this->world.scheduler.PlanHold("a", this->world.now).order.wait, options.startup_wait);
-  EXPECT_LT(options.startup_wait, options.hold_wait / 2);
+  EXPECT_EQ(this->world.scheduler.PlanRenewal("a", this->world.now).order.wait,
+            options.startup_wait);
+  EXPECT_LT(options.startup_wait, options.renewal_wait / 2);
 }
 
 /// Two tasks are starting again after their endpoint was lost, and one of them is on an endpoint
 /// that is to be emptied. It may have come to work since the last news, so that its end would leave
 /// two away.
 TEST_F(EvacuationTest, EndsNoneThatMayHaveComeToWorkSince) {
-  this->world.Hold("a", {World::Active(this->running["a"], 20)}, {});
-  this->world.Hold("b", {World::Active(this->running["b"], 20)}, {});
+  this->world.AnswerRenewal("a", {World::Active(this->running["a"], 20)}, {});
+  this->world.AnswerRenewal("b", {World::Active(this->running["b"], 20)}, {});
   this->world.scheduler.BeginEvacuation("a");
   EXPECT_TRUE(this->world.Round().stops.empty());
 }
@@ -332,14 +336,14 @@
   world.scheduler.AddJob(World::MakeJob(1, {step}), WallTime{});
   const StartOrder start = world.StartAll().at(0);
   world.scheduler.BeginEvacuation(start.endpoint);
-  world.Hold(start.endpoint, {World::Active(start, 100)}, {});
+  world.AnswerRenewal(start.endpoint, {World::Active(start, 100)}, {});
   EXPECT_TRUE(world.Round().stops.empty());
-  world.Pass(std::chrono::seconds(3));
-  world.Hold(
+  world.AdvanceTime(std::chrono::seconds(3));
+  world.AnswerRenewal(
       "a",
       start.endpoint == "a" ? std::vector{World::Active(start, 100)} : std::vector<ActiveRun>{},
       {});
-  world.Hold(
+  world.AnswerRenewal(
       "b",
       start.endpoint == "b" ? std::vector{World::Active(start, 100)} : std::vector<ActiveRun>{},
       {});
@@ -366,13 +370,13 @@
   step.is_long_running = true;
   world.scheduler.AddJob(World::MakeJob(1, {step}), Wall(world));
   const StartOrder start = world.StartAll().at(0);
-  world.Pass(std::chrono::seconds(3));
+  world.AdvanceTime(std::chrono::seconds(3));
   if (GetParam().other_cores > 0) {
     endpoints.push_back(World::Endpoint("b", GetParam().other_cores));
     world.scheduler.SetEndpoints(endpoints, world.now);
-    world.Hold("b", {}, {});
+    world.AnswerRenewal("b", {}, {});
   }
-  world.Hold("a", {World::Active(start, 100)}, {});
+  world.AnswerRenewal("a", {World::Active(start, 100)}, {});
   world.scheduler.BeginEvacuation("a");
   EXPECT_EQ(world.Round().stops.size(), GetParam().stops);
   EXPECT_EQ(world.scheduler.PoolLoads().at(ServiceId{"desk"}).waiting_long_running,
@@ -394,15 +398,15 @@
   serving.is_long_running = true;
   world.scheduler.AddJob(World::MakeJob(1, {serving}), Wall(world));
   const StartOrder start = world.StartAll().at(0);
-  world.Pass(std::chrono::seconds(3));
+  world.AdvanceTime(std::chrono::seconds(3));
   world.scheduler.SetEndpoints({World::Endpoint("a"), World::Endpoint("b")}, world.now);
-  world.Hold("b", {}, {});
-  world.Hold("a", {World::Active(start, 100)}, {});
+  world.AnswerRenewal("b", {}, {});
+  world.AnswerRenewal("a", {World::Active(start, 100)}, {});
   world.scheduler.BeginEvacuation("a");
   ASSERT_EQ(world.Round().stops.size(), 1U);
   world.scheduler.AddJob(World::MakeJob(2, {World::MakeStep(1, 6000)}), Wall(world));
   EXPECT_TRUE(world.Round().starts.empty());
-  world.Hold("a", {}, {World::Ended(1, start, RunEnd::kStopped)});
+  world.AnswerRenewal("a", {}, {World::Ended(1, start, RunEnd::kStopped)});
   const std::vector<StartOrder> starts = world.Round().starts;
   ASSERT_EQ(starts.size(), 1U);
   EXPECT_EQ(starts[0].task.job, JobId{1});
@@ -427,7 +431,7 @@
   const auto hold = [&](std::int64_t tail) {
     std::vector<ActiveRun> active = {World::Active(starts[0], 100), World::Active(starts[1], 100)};
     active[starts[0].task.job == JobId{1} ? 0 : 1].gauge = tail;
-    world.Hold("a", active, {});
+    world.AnswerRenewal("a", active, {});
     return world.Round().paces;
   };
   EXPECT_TRUE(hold(50).empty());
@@ -450,10 +454,10 @@
   world.Register({World::Endpoint("a"), World::Endpoint("b")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
   EXPECT_TRUE(world.StartAll().empty());
-  const std::vector<AdviceQuestion> questions = world.scheduler.TakeQuestions(world.now);
+  const std::vector<AdviceRequest> questions = world.scheduler.TakeAdviceRequests(world.now);
   ASSERT_EQ(questions.size(), 1U);
   EXPECT_EQ(questions[0].endpoints.size(), 2U);
-  EXPECT_TRUE(world.scheduler.TakeQuestions(world.now).empty()) << "one question at a time";
+  EXPECT_TRUE(world.scheduler.TakeAdviceRequests(world.now).empty()) << "one question at a time";
   world.scheduler.OnAdvice(questions[0].step, {{"b", "ticket"}}, world.now);
   const std::vector<StartOrder> starts = world.StartAll();
   ASSERT_EQ(starts.size(), 1U);
@@ -467,11 +471,11 @@
   world.Register({World::Endpoint("a")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
   const StartOrder start = world.StartAll().at(0);
-  world.Hold("a", {}, {World::Ended(1, start, RunEnd::kDone)});
+  world.AnswerRenewal("a", {}, {World::Ended(1, start, RunEnd::kDone)});
   world.Store();
-  EXPECT_TRUE(world.scheduler.Expired(Wall(world), 10).empty());
-  world.Pass(world.options.keep_ended + milliseconds(1));
-  const std::vector<JobId> expired = world.scheduler.Expired(Wall(world), 10);
+  EXPECT_TRUE(world.scheduler.ExpiredJobs(Wall(world), 10).empty());
+  world.AdvanceTime(world.options.ended_job_retention + milliseconds(1));
+  const std::vector<JobId> expired = world.scheduler.ExpiredJobs(Wall(world), 10);
   ASSERT_EQ(expired.size(), 1U);
   world.scheduler.Forget(expired);
   EXPECT_FALSE(world.scheduler.Find(JobId{1}));
--- a/tests/jobs/takeover_test.cc
+++ b/tests/jobs/takeover_test.cc
@@ -2,13 +2,13 @@
 
 #include <gtest/gtest.h>
 
-#include "tests/jobs/scheduler_world.h"
+#include "tests/jobs/scheduler_harness.h"
 
 namespace chervilspar::jobs {
 namespace {
 
 using std::chrono::milliseconds;
-using World = SchedulerWorld;
+using World = SchedulerHarness;
 
 std::int64_t ToMs(TimePoint time) {
   return std::chrono::duration_cast<milliseconds>(time.time_since_epoch()).count();
@@ -40,12 +40,12 @@
 
 /// The run is at work: it must go on, and nothing is started beside it.
 TEST_P(Takeover, KeepsWhatRuns) {
-  this->after.Hold("a", {World::Active(this->start)}, {});
-  this->after.Hold("b", {}, {});
+  this->after.AnswerRenewal("a", {World::Active(this->start)}, {});
+  this->after.AnswerRenewal("b", {}, {});
   const Orders orders = this->after.Round();
   EXPECT_TRUE(orders.starts.empty());
   EXPECT_TRUE(orders.stops.empty());
-  this->after.Hold("a", {}, {World::Ended(1, this->start, RunEnd::kDone)});
+  this->after.AnswerRenewal("a", {}, {World::Ended(1, this->start, RunEnd::kDone)});
   this->after.Store();
   EXPECT_EQ(this->after.PhaseOf(1), JobPhase::kComplete);
 }
@@ -59,11 +59,11 @@
   world.scheduler.SetEndpoints({reborn, World::Endpoint("c")}, world.now);
   world.scheduler.AddJob(this->job, WallTime{});
   world.scheduler.RestoreProgress(JobId{1}, this->progress);
-  world.Hold("c", {}, {});
+  world.AnswerRenewal("c", {}, {});
   EXPECT_TRUE(world.Round().starts.empty());
-  world.Hold(reborn.id, {World::Active(this->start)}, {}, 2);
+  world.AnswerRenewal(reborn.id, {World::Active(this->start)}, {}, 2);
   EXPECT_TRUE(world.Round().starts.empty());
-  world.Hold(reborn.id, {}, {World::Ended(1, this->start, RunEnd::kDone)}, 2);
+  world.AnswerRenewal(reborn.id, {}, {World::Ended(1, this->start, RunEnd::kDone)}, 2);
   world.Store();
   EXPECT_EQ(world.PhaseOf(1), JobPhase::kComplete);
 }
@@ -71,7 +71,7 @@
 /// The start never arrived. The endpoint's answer knows the successor's token, so that the order
 /// can't arrive any more, and the task starts with a higher run.
 TEST_P(Takeover, StartsWhatNeverArrived) {
-  this->after.Hold(this->start.endpoint, {}, {});
+  this->after.AnswerRenewal(this->start.endpoint, {}, {});
   const Orders orders = this->after.Round();
   ASSERT_EQ(orders.starts.size(), 1U);
   EXPECT_GT(orders.starts[0].run, this->start.run);
@@ -82,13 +82,13 @@
 /// proof ran out; only then, and one lease later, the run is certainly dead.
 TEST_P(Takeover, WaitsOutThePredecessorWhereItReachesNobody) {
   const std::string other = this->start.endpoint == "a" ? "b" : "a";
-  this->after.Hold(other, {}, {});
-  this->after.scheduler.OnHoldFailed(this->start.endpoint, OrderOutcome::kNoAnswer,
-                                     this->after.now);
+  this->after.AnswerRenewal(other, {}, {});
+  this->after.scheduler.OnRenewalFailed(this->start.endpoint, OrderOutcome::kNoAnswer,
+                                        this->after.now);
   const SchedulerOptions options;
   this->after.now = TimePoint{} + options.predecessor_grace + options.lease;
   EXPECT_TRUE(this->after.Round().starts.empty());
-  this->after.Pass(milliseconds(500));
+  this->after.AdvanceTime(milliseconds(500));
   const Orders orders = this->after.Round();
   ASSERT_EQ(orders.starts.size(), 1U);
   EXPECT_EQ(orders.starts[0].endpoint, other);
@@ -100,13 +100,14 @@
   const std::string other = this->start.endpoint == "a" ? "b" : "a";
   const SchedulerOptions options;
   const TimePoint renewed = TimePoint{} + options.predecessor_grace + std::chrono::seconds(2);
-  this->after.scheduler.NoteLeases({{this->start.endpoint, renewed + options.LongestLease()}});
-  this->after.Hold(other, {}, {});
-  this->after.scheduler.OnHoldFailed(this->start.endpoint, OrderOutcome::kNoAnswer,
-                                     this->after.now);
+  this->after.scheduler.RecordInterimLeases(
+      {{this->start.endpoint, renewed + options.LongestLease()}});
+  this->after.AnswerRenewal(other, {}, {});
+  this->after.scheduler.OnRenewalFailed(this->start.endpoint, OrderOutcome::kNoAnswer,
+                                        this->after.now);
   this->after.now = renewed + options.lease;
   EXPECT_TRUE(this->after.Round().starts.empty());
-  this->after.Pass(milliseconds(500));
+  this->after.AdvanceTime(milliseconds(500));
   const Orders orders = this->after.Round();
   ASSERT_EQ(orders.starts.size(), 1U);
   EXPECT_EQ(orders.starts[0].endpoint, other);
@@ -120,7 +121,7 @@
   world.scheduler.SetEndpoints({reborn}, world.now);
   world.scheduler.AddJob(this->job, WallTime{});
   world.scheduler.RestoreProgress(JobId{1}, this->progress);
-  world.Hold(this->start.endpoint, {}, {}, 2);
+  world.AnswerRenewal(this->start.endpoint, {}, {}, 2);
   EXPECT_EQ(world.Round().starts.size(), 1U);
 }
 
@@ -133,7 +134,7 @@
   done.rows[0].progress.phase = TaskPhase::kDone;
   done.rows[0].progress.endpoint.clear();
   world.scheduler.RestoreProgress(JobId{1}, done);
-  world.Hold("a", {}, {World::Ended(1, this->start, RunEnd::kDone)});
+  world.AnswerRenewal("a", {}, {World::Ended(1, this->start, RunEnd::kDone)});
   EXPECT_TRUE(world.Round().starts.empty());
   EXPECT_EQ(world.PhaseOf(1), JobPhase::kComplete);
 }
@@ -151,7 +152,7 @@
   failed.phase = JobPhase::kFailed;
   failed.ended_ms = 0;
   world.scheduler.RestoreProgress(JobId{1}, failed);
-  EXPECT_TRUE(world.scheduler.Expired(WallTime(world.now.time_since_epoch()), 10).empty());
+  EXPECT_TRUE(world.scheduler.ExpiredJobs(WallTime(world.now.time_since_epoch()), 10).empty());
   EXPECT_EQ(world.PhaseOf(1), JobPhase::kFailed);
 }
 
@@ -177,25 +178,26 @@
 /// One of two tasks fails for the last time.
 StartOrder EndByFailing(World& world) {
   const std::vector<StartOrder> starts = world.StartAll();
-  world.Hold("a", {World::Active(starts[0])}, {World::Ended(1, starts[1], RunEnd::kFailed)});
+  world.AnswerRenewal("a", {World::Active(starts[0])},
+                      {World::Ended(1, starts[1], RunEnd::kFailed)});
   const StartOrder again = world.StartAll().at(0);
-  world.Hold("a", {World::Active(starts[0])}, {World::Ended(2, again, RunEnd::kFailed)});
+  world.AnswerRenewal("a", {World::Active(starts[0])}, {World::Ended(2, again, RunEnd::kFailed)});
   return starts[0];
 }
 
 /// The first run, taken as dead, turns out to have ended well.
 StartOrder EndByAnEarlierRun(World& world) {
   world.scheduler.SetEndpoints({World::Endpoint("b")}, world.now);
-  world.Hold("b", {}, {});
+  world.AnswerRenewal("b", {}, {});
   const StartOrder first = world.StartAll().at(0);
-  world.scheduler.OnHoldFailed("b", OrderOutcome::kNoAnswer, world.now);
-  world.Pass(SchedulerOptions{}.LongestLease() + std::chrono::seconds(1));
+  world.scheduler.OnRenewalFailed("b", OrderOutcome::kNoAnswer, world.now);
+  world.AdvanceTime(SchedulerOptions{}.LongestLease() + std::chrono::seconds(1));
   world.Decide();
   world.Store();
   world.Register({World::Endpoint("a")});
   StartOrder second = world.StartAll().at(0);
   world.scheduler.SetEndpoints({World::Endpoint("a"), World::Endpoint("b")}, world.now);
-  world.Hold("b", {}, {World::Ended(1, first, RunEnd::kDone)});
+  world.AnswerRenewal("b", {}, {World::Ended(1, first, RunEnd::kDone)});
   return second;
 }
 
@@ -217,17 +219,17 @@
   after.scheduler.AddJob(MakeFilling(1, GetParam().tasks), WallTime{});
   after.scheduler.AddJob(MakeFilling(2, 1), WallTime{});
   after.scheduler.RestoreProgress(JobId{1}, stored);
-  after.Hold("a", {World::Active(left)}, {});
+  after.AnswerRenewal("a", {World::Active(left)}, {});
   const Orders orders = after.Round();
   EXPECT_TRUE(orders.starts.empty());
   ASSERT_EQ(orders.stops.size(), 1U);
   EXPECT_EQ(orders.stops[0].task, left.task);
-  after.Hold("a", {}, {World::Ended(9, left, RunEnd::kStopped)});
+  after.AnswerRenewal("a", {}, {World::Ended(9, left, RunEnd::kStopped)});
   EXPECT_EQ(after.StartAll().size(), 1U);
   EXPECT_EQ(after.PhaseOf(1), stored.phase);
   after.Decide();
   after.Store();
-  EXPECT_EQ(after.scheduler.TakeEnded(), std::vector<JobId>{JobId{1}});
+  EXPECT_EQ(after.scheduler.TakeEndedJobs(), std::vector<JobId>{JobId{1}});
 }
 
 INSTANTIATE_TEST_SUITE_P(Endings, EndedWithARun,
@@ -240,7 +242,7 @@
 TEST_P(Takeover, StopsWhatNobodyAskedFor) {
   StartOrder stray = this->start;
   stray.task.job = JobId{99};
-  this->after.Hold("a", {World::Active(stray)}, {});
+  this->after.AnswerRenewal("a", {World::Active(stray)}, {});
   const Orders orders = this->after.Round();
   ASSERT_EQ(orders.stops.size(), 1U);
   EXPECT_EQ(orders.stops[0].task.job, JobId{99});
@@ -251,12 +253,12 @@
 /// dead by then and start it elsewhere.
 TEST_P(Takeover, RenewsNothingWithoutProof) {
   const SchedulerOptions options;
-  this->after.Hold("a", {World::Active(this->start)}, {});
-  EXPECT_TRUE(this->after.scheduler.PlanHold("a", this->after.now).order.lease_end_ms);
+  this->after.AnswerRenewal("a", {World::Active(this->start)}, {});
+  EXPECT_TRUE(this->after.scheduler.PlanRenewal("a", this->after.now).order.lease_end_ms);
   this->after.now = TimePoint{} + options.predecessor_grace;
-  EXPECT_FALSE(this->after.scheduler.PlanHold("a", this->after.now).order.lease_end_ms);
+  EXPECT_FALSE(this->after.scheduler.PlanRenewal("a", this->after.now).order.lease_end_ms);
   this->after.scheduler.SetProof(this->after.now);
-  EXPECT_TRUE(this->after.scheduler.PlanHold("a", this->after.now).order.lease_end_ms);
+  EXPECT_TRUE(this->after.scheduler.PlanRenewal("a", this->after.now).order.lease_end_ms);
 }
 
 /// The operators go back to a version that reads rows only, and first ask for rows. A record that
@@ -322,7 +324,7 @@
   // A repeat of its submission came after the end.
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), WallTime{});
   EXPECT_TRUE(world.StartAll().empty());
-  EXPECT_EQ(world.scheduler.Expired(WallTime(std::chrono::hours(1)), 10),
+  EXPECT_EQ(world.scheduler.ExpiredJobs(WallTime(std::chrono::hours(1)), 10),
             std::vector<JobId>{JobId{1}});
 }
 
@@ -333,12 +335,12 @@
   world.Register({World::Endpoint("a")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), WallTime{});
   const StartOrder start = world.StartAll().at(0);
-  world.Hold("a", {}, {World::Ended(1, start, RunEnd::kDone)});
+  world.AnswerRenewal("a", {}, {World::Ended(1, start, RunEnd::kDone)});
   world.Decide();
-  EXPECT_TRUE(world.scheduler.TakeEnded().empty());
+  EXPECT_TRUE(world.scheduler.TakeEndedJobs().empty());
   world.Store();
-  EXPECT_EQ(world.scheduler.TakeEnded(), std::vector<JobId>{JobId{1}});
-  EXPECT_TRUE(world.scheduler.TakeEnded().empty());
+  EXPECT_EQ(world.scheduler.TakeEndedJobs(), std::vector<JobId>{JobId{1}});
+  EXPECT_TRUE(world.scheduler.TakeEndedJobs().empty());
 }
 
 /// Guards against an owner that renews for longer than its successor waits: the answer to its
--- a/tests/jobs/waiting_jobs_test.cc
+++ b/tests/jobs/waiting_jobs_test.cc
@@ -3,14 +3,14 @@
 
 #include <gtest/gtest.h>
 
-#include "tests/jobs/scheduler_world.h"
+#include "tests/jobs/scheduler_harness.h"
 
 namespace chervilspar::jobs {
 namespace {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using World = SchedulerWorld;
+using World = SchedulerHarness;
 
 /// Longer than a count is told again.
 constexpr Duration kRecount = milliseconds(500);
@@ -24,7 +24,7 @@
 /// The endpoint doesn't answer any more, and no other is registered.
 void FallSilent(World& world, const std::string& endpoint) {
   world.scheduler.SetEndpoints({}, world.now);
-  world.scheduler.OnHoldFailed(endpoint, OrderOutcome::kNoAnswer, world.now);
+  world.scheduler.OnRenewalFailed(endpoint, OrderOutcome::kNoAnswer, world.now);
 }
 
 void Answer(World& world, const StartOrder& start, OrderOutcome outcome) {
@@ -32,7 +32,7 @@
 }
 
 std::uint64_t Recount(World& world) {
-  world.Pass(kRecount);
+  world.AdvanceTime(kRecount);
   world.Decide();
   return world.scheduler.PendingIn("bookings");
 }
@@ -75,51 +75,52 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Orders, OrderedButNotBegun,
-    ::testing::Values(WaitingCase{"under_way", [](World&, const StartOrder&) {}},
-                      WaitingCase{"no_room",
-                                  [](World& world, const StartOrder& start) {
-                                    Answer(world, start, OrderOutcome::kNoRoom);
-                                  }},
-                      WaitingCase{"refused",
-                                  [](World& world, const StartOrder& start) {
-                                    Answer(world, start, OrderOutcome::kRefused);
-                                  }},
-                      WaitingCase{"too_late",
-                                  [](World& world, const StartOrder& start) {
-                                    Answer(world, start, OrderOutcome::kTooLate);
-                                  }},
-                      WaitingCase{"not_sent",
-                                  [](World& world, const StartOrder& start) {
-                                    Answer(world, start, OrderOutcome::kNotSent);
-                                  }},
-                      WaitingCase{"another_endpoint_answers",
-                                  [](World& world, const StartOrder& start) {
-                                    Answer(world, start, OrderOutcome::kOtherLife);
-                                  }},
-                      WaitingCase{"no_answer_yet",
-                                  [](World& world, const StartOrder& start) {
-                                    Answer(world, start, OrderOutcome::kNoAnswer);
-                                  }},
-                      WaitingCase{"not_listed",
-                                  [](World& world, const StartOrder& start) {
-                                    Answer(world, start, OrderOutcome::kNoAnswer);
-                                    world.Pass(SchedulerOptions{}.LongestLease() + seconds(1));
-                                    world.Hold("a", {}, {});
-                                  }},
-                      WaitingCase{"lease_lapsed",
-                                  [](World& world, const StartOrder& start) {
-                                    Answer(world, start, OrderOutcome::kNoAnswer);
-                                    FallSilent(world, "a");
-                                    world.Pass(SchedulerOptions{}.LongestLease() + seconds(1));
-                                    world.Decide();
-                                  }},
-                      WaitingCase{"endpoint_started_anew",
-                                  [](World& world, const StartOrder& start) {
-                                    Answer(world, start, OrderOutcome::kNoAnswer);
-                                    world.Hold("a", {}, {}, 2);
-                                    world.Pass(SchedulerOptions{}.LongestLease() + seconds(1));
-                                    world.Hold("a", {}, {}, 2);
-                                  }}),
+    ::testing::Values(
+        WaitingCase{"under_way", [](World&, const StartOrder&) {}},
+        WaitingCase{"no_room",
+                    [](World& world, const StartOrder& start) {
+                      Answer(world, start, OrderOutcome::kNoRoom);
+                    }},
+        WaitingCase{"refused",
+                    [](World& world, const StartOrder& start) {
+                      Answer(world, start, OrderOutcome::kRefused);
+                    }},
+        WaitingCase{"too_late",
+                    [](World& world, const StartOrder& start) {
+                      Answer(world, start, OrderOutcome::kTooLate);
+                    }},
+        WaitingCase{"not_sent",
+                    [](World& world, const StartOrder& start) {
+                      Answer(world, start, OrderOutcome::kNotSent);
+                    }},
+        WaitingCase{"another_endpoint_answers",
+                    [](World& world, const StartOrder& start) {
+                      Answer(world, start, OrderOutcome::kOtherLife);
+                    }},
+        WaitingCase{"no_answer_yet",
+                    [](World& world, const StartOrder& start) {
+                      Answer(world, start, OrderOutcome::kNoAnswer);
+                    }},
+        WaitingCase{"not_listed",
+                    [](World& world, const StartOrder& start) {
+                      Answer(world, start, OrderOutcome::kNoAnswer);
+                      world.AdvanceTime(SchedulerOptions{}.LongestLease() + seconds(1));
+                      world.AnswerRenewal("a", {}, {});
+                    }},
+        WaitingCase{"lease_lapsed",
+                    [](World& world, const StartOrder& start) {
+                      Answer(world, start, OrderOutcome::kNoAnswer);
+                      FallSilent(world, "a");
+                      world.AdvanceTime(SchedulerOptions{}.LongestLease() + seconds(1));
+                      world.Decide();
+                    }},
+        WaitingCase{"endpoint_started_anew",
+                    [](World& world, const StartOrder& start) {
+                      Answer(world, start, OrderOutcome::kNoAnswer);
+                      world.AnswerRenewal("a", {}, {}, 2);
+                      world.AdvanceTime(SchedulerOptions{}.LongestLease() + seconds(1));
+                      world.AnswerRenewal("a", {}, {}, 2);
+                    }}),
     [](const auto& info) { return info.param.name; });
 
 /// Guards against a count that takes a job for waiting again, once a task of it has begun.
@@ -142,25 +143,27 @@
                       WaitingCase{"listed_after_a_lost_answer",
                                   [](World& world, const StartOrder& start) {
                                     Answer(world, start, OrderOutcome::kNoAnswer);
-                                    world.Hold("a", {World::Active(start)}, {});
+                                    world.AnswerRenewal("a", {World::Active(start)}, {});
                                   }},
                       WaitingCase{"its_end_heard_first",
                                   [](World& world, const StartOrder& start) {
-                                    world.Hold("a", {}, {World::Ended(1, start, RunEnd::kFailed)});
+                                    world.AnswerRenewal("a", {},
+                                                        {World::Ended(1, start, RunEnd::kFailed)});
                                   }},
                       WaitingCase{"lost_with_its_endpoint",
                                   [](World& world, const StartOrder& start) {
                                     Answer(world, start, OrderOutcome::kDone);
                                     FallSilent(world, "a");
-                                    world.Pass(SchedulerOptions{}.LongestLease() + seconds(1));
+                                    world.AdvanceTime(SchedulerOptions{}.LongestLease() +
+                                                      seconds(1));
                                     world.Decide();
                                   }},
                       WaitingCase{"listed_while_it_is_stopped",
                                   [](World& world, const StartOrder& start) {
                                     Answer(world, start, OrderOutcome::kNoAnswer);
-                                    world.Pass(SchedulerOptions{}.LongestLease());
+                                    world.AdvanceTime(SchedulerOptions{}.LongestLease());
                                     world.Decide();
-                                    world.Hold("a", {World::Active(start)}, {});
+                                    world.AnswerRenewal("a", {World::Active(start)}, {});
                                   }}),
     [](const auto& info) { return info.param.name; });
 
@@ -169,7 +172,7 @@
   World before;
   const StartOrder start = OrderOne(before);
   Answer(before, start, OrderOutcome::kDone);
-  before.Hold("a", {}, {World::Ended(1, start, RunEnd::kFailed)});
+  before.AnswerRenewal("a", {}, {World::Ended(1, start, RunEnd::kFailed)});
   before.Store();
   World after{{}, 2};
   TakeOver(after, before, {});
@@ -183,7 +186,7 @@
   Answer(before, start, OrderOutcome::kDone);
   World after{{}, 2};
   TakeOver(after, before, before.endpoints);
-  after.Hold("a", {World::Active(start)}, {});
+  after.AnswerRenewal("a", {World::Active(start)}, {});
   EXPECT_EQ(Recount(after), 0U);
 }
 
@@ -193,7 +196,7 @@
   const StartOrder start = OrderOne(before);
   Answer(before, start, OrderOutcome::kDone);
   FallSilent(before, "a");
-  before.Pass(SchedulerOptions{}.LongestLease() + seconds(1));
+  before.AdvanceTime(SchedulerOptions{}.LongestLease() + seconds(1));
   before.Round();
   World after{{}, 2};
   TakeOver(after, before, {});
@@ -237,9 +240,9 @@
                          [](const auto& info) { return info.param.name; });
 
 bool IsTold(World& world, const std::string& event) {
-  const std::vector<Note> notes = world.scheduler.TakeNotes();
+  const std::vector<DecisionEvent> notes = world.scheduler.TakeEvents();
   return std::any_of(notes.begin(), notes.end(),
-                     [&](const Note& note) { return note.event == event; });
+                     [&](const DecisionEvent& note) { return note.event == event; });
 }
 
 /// Guards against a second line on a job's start, with a wait that was none, after a take-over.
@@ -250,7 +253,7 @@
   EXPECT_TRUE(IsTold(before, "job_started"));
   World after{{}, 2};
   TakeOver(after, before, before.endpoints);
-  after.Hold("a", {World::Active(start)}, {});
+  after.AnswerRenewal("a", {World::Active(start)}, {});
   EXPECT_FALSE(IsTold(after, "job_started"));
 }
 
@@ -268,9 +271,9 @@
   const StartOrder start = OrderOne(before);
   Answer(before, start, OrderOutcome::kDone);
   for (int i = 0; i < 60; ++i) {
-    before.Pass(seconds(1));
+    before.AdvanceTime(seconds(1));
     before.scheduler.SetProof(before.now);
-    before.Hold("a", {World::Active(start)}, {});
+    before.AnswerRenewal("a", {World::Active(start)}, {});
     before.Round();
   }
   ASSERT_EQ(before.PhaseOf(1), JobPhase::kRunning);
--- a/tests/jobs/zone_cordon_property_test.cc
+++ b/tests/jobs/zone_cordon_property_test.cc
@@ -5,13 +5,13 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "tests/jobs/scheduler_world.h"
+#include "tests/jobs/scheduler_harness.h"
 
 namespace chervilspar::jobs {
 namespace {
 
 using std::chrono::milliseconds;
-using World = SchedulerWorld;
+using World = SchedulerHarness;
 
 /// Three zones of two endpoints each, whose answers come, come late or are lost, under owners that
 /// die. Watches what the owners send.
@@ -39,7 +39,7 @@
   /// `fate`: of each start, whether it is carried out and answered, one without the other, or
   /// neither.
   void Round(int fate) {
-    this->world->Pass(milliseconds(120));
+    this->world->AdvanceTime(milliseconds(120));
     this->world->scheduler.SetProof(this->world->now);
     const Orders orders = this->world->Round();
     for (const StopOrder& stop : orders.stops) {
@@ -67,7 +67,7 @@
     for (const auto& [task, run] : this->runs[id]) {
       active.push_back({task, run, "", 50, 0});
     }
-    this->world->Hold(id, std::move(active), {});
+    this->world->AnswerRenewal(id, std::move(active), {});
   }
 
   void TakeOver() {
--- a/tests/jobs/zone_cordon_test.cc
+++ b/tests/jobs/zone_cordon_test.cc
@@ -5,14 +5,14 @@
 
 #include <gtest/gtest.h>
 
-#include "tests/jobs/scheduler_world.h"
+#include "tests/jobs/scheduler_harness.h"
 
 namespace chervilspar::jobs {
 namespace {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using World = SchedulerWorld;
+using World = SchedulerHarness;
 
 const ZoneId kEast{"east"};
 const ZoneId kWest{"west"};
@@ -105,7 +105,7 @@
     while (this->world.now < end) {
       this->world.scheduler.SetProof(this->world.now);
       for (const char* id : {"e", "w"}) {
-        this->world.Hold(id, this->active[id], {});
+        this->world.AnswerRenewal(id, this->active[id], {});
       }
       const Orders orders = this->world.Round();
       for (const StartOrder& start : orders.starts) {
@@ -114,7 +114,7 @@
         this->world.scheduler.OnStartAnswered(start, OrderOutcome::kDone, this->world.now);
       }
       this->stops.insert(this->stops.end(), orders.stops.begin(), orders.stops.end());
-      this->world.Pass(milliseconds(100));
+      this->world.AdvanceTime(milliseconds(100));
     }
   }
 
@@ -162,7 +162,7 @@
 void FailLasting(TwoZones& zones) {
   const StartOrder start = StartInTheEast(zones, MakeLasting(1, 1000), OrderOutcome::kDone);
   zones.Cordon();
-  zones.world.Hold("e", {}, {World::Ended(1, start, RunEnd::kFailed)});
+  zones.world.AnswerRenewal("e", {}, {World::Ended(1, start, RunEnd::kFailed)});
 }
 
 /// The task that was at work in the west has to move, and there is room in the east.
@@ -194,7 +194,7 @@
   EndpointRecord reborn = EndpointIn(kEast, "e");
   reborn.born_ms = 2;
   zones.world.scheduler.SetEndpoints({reborn, EndpointIn(kWest, "w")}, zones.world.now);
-  zones.world.Hold("e", {}, {}, 2);
+  zones.world.AnswerRenewal("e", {}, {}, 2);
   zones.Add(1, World::MakeStep(4));
 }
 
@@ -257,7 +257,7 @@
   TwoZones zones;
   const StartOrder start = StartInTheEast(zones, World::MakeStep(1), OrderOutcome::kNoAnswer);
   zones.Cordon();
-  zones.world.Pass(milliseconds(600));
+  zones.world.AdvanceTime(milliseconds(600));
   EXPECT_TRUE(zones.world.Round().stops.empty());
   zones.active["e"] = {World::Active(start)};
   zones.Live(seconds(2));
@@ -311,11 +311,11 @@
   TwoZones zones;
   zones.world.scheduler.SetCordonedZones({kEast, kWest});
   zones.Add(1, World::MakeStep(1));
-  zones.world.Pass(seconds(10));
+  zones.world.AdvanceTime(seconds(10));
   zones.Live(milliseconds(300));
   EXPECT_TRUE(zones.starts.empty());
-  const std::vector<Note> notes = zones.world.scheduler.TakeNotes();
-  EXPECT_TRUE(std::any_of(notes.begin(), notes.end(), [](const Note& note) {
+  const std::vector<DecisionEvent> notes = zones.world.scheduler.TakeEvents();
+  EXPECT_TRUE(std::any_of(notes.begin(), notes.end(), [](const DecisionEvent& note) {
     return note.event == "job_waits" && note.why.find("cordoned") != std::string::npos;
   }));
 }
