--- a/include/chervilspar/jobs/scheduler.h
+++ b/include/chervilspar/jobs/scheduler.h
@@ -20,14 +20,14 @@
 
 namespace chervilspar::jobs {
 
-/// How much a note matters to somebody who asks what became of a job.
+/// How relevant an event is to a reader who follows a job through the logs.
 enum class EventImportance {
-  /// One of thousands that go as they should.
+  /// Part of the normal course of a task.
   kRoutine,
   kNotable,
 };
 
-/// A decision on a task or job, for logs: which, where, and what decided it.
+/// A decision on a task or job, for the log: its subject, its endpoint and its reason.
 struct DecisionEvent {
   std::string event;
   std::optional<TaskKey> task;
@@ -39,25 +39,26 @@
   friend bool operator==(const DecisionEvent&, const DecisionEvent&) = default;
 };
 
-/// One keyed record to be written: a job's progress, or its removal.
+/// A keyed record to store: the progress of a job, or its removal.
 struct ProgressRecord {
   JobId job;
-  /// Nothing: the job's records are to be dropped.
+  /// `nullopt` removes the records of the job.
   std::optional<std::string> text;
 
   friend bool operator==(const ProgressRecord&, const ProgressRecord&) = default;
 };
 
-/// A lapse notice to be written, or its removal.
+/// A lapse notice to store, or its removal.
 struct LapseRecord {
   std::string endpoint;
-  /// Nothing: the endpoint's notice is to be dropped.
+  /// `nullopt` removes the notice of the endpoint.
   std::optional<std::string> text;
 
   friend bool operator==(const LapseRecord&, const LapseRecord&) = default;
 };
 
-/// What has to be stored before anything that follows from it may leave the process.
+/// Records that must be stored before any order, confirmation or answer that depends on them leaves
+/// the process.
 struct Batch {
   std::vector<ProgressRecord> records;
   std::vector<LapseRecord> lapses;
@@ -65,27 +66,27 @@
   bool IsEmpty() const { return this->records.empty() && this->lapses.empty(); }
 };
 
-/// Orders to endpoints. They may be sent side by side, in any order.
+/// Orders to endpoints. They may be sent concurrently and in any sequence.
 struct Orders {
   std::vector<StartOrder> starts;
   std::vector<StopOrder> stops;
   std::vector<PaceOrder> paces;
 };
 
-/// What a caller is told of a job.
+/// The state of a job as reported to callers.
 struct JobView {
   JobPhase phase = JobPhase::kQueued;
 
   friend bool operator==(const JobView&, const JobView&) = default;
 };
 
-/// A question to the adviser of a queue: on which of these endpoints may the step run?
+/// Asks the adviser of a queue on which of these endpoints the step may run.
 struct AdviceRequest {
   TaskKey step;
   std::vector<std::string> endpoints;
 };
 
-/// One endpoint on which a step may run, with the adviser's ticket.
+/// An endpoint on which the adviser allows a step to run, with the ticket to pass along.
 struct AdviceTicket {
   std::string endpoint;
   std::string ticket;
@@ -93,75 +94,79 @@
   friend bool operator==(const AdviceTicket&, const AdviceTicket&) = default;
 };
 
-/// How a renewal at an endpoint should look now.
+/// The lease renewal to send to an endpoint now.
 struct RenewalPlan {
   HoldOrder order;
-  /// False: nothing is to be renewed or learnt there.
+  /// False if there is nothing to renew, confirm or poll at the endpoint.
   bool is_needed = false;
 };
 
-/// What an evacuated endpoint still holds up.
+/// Whether an endpoint that is being evacuated still has claims.
 enum class EvacuationState { kUnknownEndpoint, kRunning, kEmpty };
 
-/// What an endpoint is used for, for the choice of VMs.
+/// How an endpoint is used; input to the selection of VMs.
 struct EndpointUsage {
   Resources used;
   bool is_empty = false;
   bool has_long_running = false;
-  /// It gets work, or did until it was chosen to be emptied.
+  /// It is registered, responsive and not draining. Also true while it is being evacuated.
   bool is_serving = false;
-  /// It has not answered lately.
+  /// Its last renewal failed.
   bool is_silent = false;
 
   friend bool operator==(const EndpointUsage&, const EndpointUsage&) = default;
 };
 
-/// Decides which task runs where. Owns the state of all jobs of its pools, without network, clock
-/// or threads: facts go in with their times, orders and records come out.
+/// Assigns tasks to endpoints. Owns the state of all jobs of its pools and uses no network, clock
+/// or threads: the caller passes in events with their times, and takes out orders and records.
 ///
-/// The load that it answers: queues whose demand exceeds their pool for seconds at a time, with run
-/// times that are known only roughly. Without an order by the latest start that is still on time,
-/// whoever serves oldest first serves everybody late once a queue is longer than the slack.
+/// Demand can exceed the capacity of a pool for seconds, and run times are known only roughly. Jobs
+/// are therefore ordered by their latest start that still meets the deadline. Oldest first would
+/// make every job late once the queue is longer than the slack.
 ///
-/// What can go wrong: a process that decided is killed between an order and its record, its
-/// successor doesn't know of the run and starts the task a second time, and a deposit is charged
-/// twice. So a placement is part of a `Batch`, and its `StartOrder` comes out of `ConfirmBatch`,
-/// after the batch is stored. Ends are confirmed to the endpoint and shown to callers in the same
-/// way.
+/// If the process were killed between sending an order and storing it, its successor wouldn't know
+/// of the run and would start the task a second time, which could for example charge a deposit
+/// twice. A placement is therefore part of a `Batch`, and `ConfirmBatch` returns its `StartOrder`
+/// only after the batch is stored. Ends of runs are likewise stored before they are confirmed to
+/// the endpoint and reported to callers.
 class Scheduler {
  public:
-  /// `token` fences predecessors at the endpoints; `now` is when this scheduler took over.
+  /// `token` is the fencing token of this owner, sent with each order; endpoints refuse lower ones.
+  /// `now` is the time at which this scheduler took over.
   Scheduler(const SchedulerOptions& options, std::uint64_t token, TimePoint now)
       : Scheduler(options, token, now, now) {}
-  /// `proof`: when it is known that there was no successor. A term that begins with the answer to
-  /// its announcement has proof of the time at which that was sent.
+  /// `proof` is the latest time at which there was provably no successor. For a term that begins
+  /// with the answer to its announcement, this is the time at which the announcement was sent.
   Scheduler(const SchedulerOptions& options, std::uint64_t token, TimePoint now, TimePoint proof);
   Scheduler(const Scheduler&) = delete;
   Scheduler& operator=(const Scheduler&) = delete;
   ~Scheduler();
 
-  // Facts.
+  // Inputs.
   void SetPolicy(const Policy& policy);
-  /// Nothing is started in these zones any more; what runs there runs on.
+  /// Starts no more tasks in these zones. Runs that are active there continue.
   void SetCordonedZones(const std::set<ZoneId>& zones);
-  /// The endpoints that are registered now; others are gone or not reachable for the registry.
+  /// Sets the endpoints that are registered now. All others have left or are unreachable for the
+  /// registry.
   void SetEndpoints(const std::vector<EndpointRecord>& endpoints, TimePoint now);
-  /// Takes a job; the same id again changes nothing.
+  /// Adds a job. An id that is already known is ignored.
   void AddJob(const Job& job, WallTime wall);
-  /// Stored progress of a job; only while the scheduler is being loaded, after all jobs. A job that
-  /// has ended may be known by its progress alone.
+  /// Restores the stored progress of a job. May only be called while the scheduler is loaded, after
+  /// all calls of `AddJob`. A job that has ended may be unknown to `AddJob`.
   void RestoreProgress(const JobId& id, const JobProgress& progress);
-  /// The same from its record. One in the compact form is written anew with the next batch where
-  /// rows are to be stored.
+  /// Decodes a stored record and restores it like `RestoreProgress`; returns the decoding error if
+  /// there is one. If `SchedulerOptions::progress_form` is `kRows`, a record in the compact form is
+  /// rewritten with the next batch.
   Status RestoreStored(const JobId& id, std::string_view text);
-  /// Stored notices, whoever made them; after `RestoreProgress` and before `RecordInterimLeases`.
+  /// Restores stored lapse notices of any owner. Call after `RestoreProgress` and before
+  /// `RecordInterimLeases`.
   void RestoreLapseNotices(const std::vector<LapseNotice>& notices);
-  /// Leases that were given for this token before the jobs were known, with the times by our clock
-  /// at which they have certainly lapsed; after `RestoreProgress`.
+  /// Records leases that were granted for this token before the jobs were loaded, with the times by
+  /// the local clock at which they have certainly lapsed. Call after `RestoreProgress`.
   void RecordInterimLeases(const std::map<std::string, TimePoint>& lease_ends);
-  /// Cancels a job, also one that is yet to come.
+  /// Cancels a job, including one that `AddJob` adds only later.
   void CancelJob(const JobId& id);
-  /// `sent`: when the hold was sent; what ended after that may be missing in it.
+  /// `sent` is when the renewal was sent. The report may lack runs that ended after that.
   void OnRenewalAnswered(const HoldOrder& order, const HoldReport& report, TimePoint sent,
                          TimePoint now);
   void OnRenewalFailed(const std::string& endpoint, OrderOutcome outcome, TimePoint now);
@@ -170,56 +175,61 @@
   void OnThrottleAnswered(const PaceOrder& order, OrderOutcome outcome);
   void OnAdvice(const TaskKey& step, const std::vector<AdviceTicket>& tickets, TimePoint now);
 
-  /// Until this time there was certainly no successor. Leases are renewed for
+  /// Sets the latest time at which there was provably no successor. Leases are renewed for
   /// `SchedulerOptions::predecessor_grace` after it.
   ///
-  /// The time is compared with each renewal: a process that runs slowly would renew for seconds on
-  /// an answer of earlier, while its successor takes the runs as dead and starts them again.
+  /// Each renewal checks the age of the proof. Otherwise a slow process could go on renewing for
+  /// seconds on an outdated answer, while its successor considers the runs dead and restarts them.
   void SetProof(TimePoint proof);
   bool MayRenew(TimePoint now) const;
-  /// The latest time for which it is proven that there was no successor.
+  /// The latest time at which there was provably no successor.
   TimePoint Proof() const;
 
   // Decisions.
   Orders Decide(TimePoint now, WallTime wall);
   std::vector<AdviceRequest> TakeAdviceRequests(TimePoint now);
-  /// True when there is something to store or to confirm.
+  /// True if there is something to store or to confirm.
   bool HasBatch() const;
-  /// What changed since the last batch. One batch at a time: the next after `ConfirmBatch`.
+  /// Returns the changes since the last batch. Only one batch may be outstanding: call
+  /// `ConfirmBatch` before taking the next.
   Batch TakeBatch();
-  /// The batch is stored: gives the starts that it allows.
+  /// Call once the batch is stored. Returns the starts that depended on it.
   Orders ConfirmBatch(TimePoint now);
-  /// Jobs whose end was stored since the last call: what else is stored of them is needless.
+  /// Jobs whose end was stored since the last call. Their submissions needn't be kept any longer.
   std::vector<JobId> TakeEndedJobs();
-  /// Jobs that ended so long ago that nobody is told of them any more, at most `most`.
-  std::vector<JobId> ExpiredJobs(WallTime wall, std::size_t most) const;
-  /// Their submissions are gone from the store: drops what is left of them.
+  /// At most `max_count` jobs that ended more than `SchedulerOptions::ended_job_retention` ago.
+  std::vector<JobId> ExpiredJobs(WallTime wall, std::size_t max_count) const;
+  /// Forgets jobs whose submissions were removed from the store, and removes their progress with
+  /// the next batch.
   void Forget(const std::vector<JobId>& ids);
   RenewalPlan PlanRenewal(const std::string& endpoint, TimePoint now);
   std::vector<std::string> EndpointIds() const;
-  /// Empty for an endpoint that isn't known here.
+  /// Empty for an unknown endpoint.
   ZoneId ZoneOf(const std::string& endpoint) const;
   /// Events since the last call, oldest first.
   std::vector<DecisionEvent> TakeEvents();
-  /// True once an endpoint has seen a higher token: another scheduler has taken over.
+  /// True once an endpoint has reported a higher token, which means that another scheduler has
+  /// taken over.
   bool IsSuperseded() const;
 
   // Evacuation, before a VM is rebooted or moved.
   void BeginEvacuation(const std::string& endpoint);
   void EndEvacuation(const std::string& endpoint);
-  /// Endpoints whose VMs are to be rebooted soon: long-running tasks go elsewhere if they can.
+  /// Sets the endpoints whose VMs will be rebooted soon. Long-running tasks are placed on others if
+  /// possible.
   void SetUpcomingReboots(const std::set<std::string>& endpoints);
   EvacuationState EvacuationOf(const std::string& endpoint) const;
-  /// Nothing for an endpoint that isn't known here.
+  /// `nullopt` for an unknown endpoint.
   std::optional<EndpointUsage> UsageOf(const std::string& endpoint) const;
   std::map<ServiceId, PoolLoad> PoolLoads() const;
-  /// Cpu in use and in all over the endpoints of a service, for the choice of VMs.
+  /// Resources in use, and in total, over the registered endpoints of a service; input to the
+  /// selection of VMs.
   Resources UsedIn(const ServiceId& service) const;
   Resources CapacityOf(const ServiceId& service) const;
 
-  // Questions of callers; only what is stored is told.
+  // Queries of callers. An end is reported only once it is stored.
   std::optional<JobView> Find(const JobId& id) const;
-  /// Accepted jobs of a queue of which no task has started.
+  /// The number of accepted jobs of a queue of which no task has started. May be up to 0.4 s old.
   std::uint64_t PendingIn(const std::string& queue) const;
   std::size_t JobCount() const;
 
--- a/include/chervilspar/jobs/scheduler_options.h
+++ b/include/chervilspar/jobs/scheduler_options.h
@@ -5,61 +5,64 @@
 
 namespace chervilspar::jobs {
 
-/// Times and weights of the scheduler. The defaults were chosen for endpoints a few milliseconds
-/// away and tasks of about a second.
+/// Durations and limits of the scheduler. The defaults suit endpoints with a round trip of a few
+/// milliseconds and tasks of about a second.
 struct SchedulerOptions {
-  /// Length of a lease. Long enough that a successor (about 1.5 s after its predecessor's end)
-  /// still finds the work running, short enough that the work of a dead endpoint is soon free
-  /// again.
+  /// Duration of a lease. Long enough that a successor, which takes over about 1.5 s after the end
+  /// of its predecessor, still finds the runs active. Short enough that the tasks of a dead
+  /// endpoint can soon be restarted.
   Duration lease = std::chrono::milliseconds(4000);
-  /// An endpoint's clock may be this much slower than ours, from its contract.
+  /// The fraction by which the clock of an endpoint may be slower than the local clock, from the
+  /// contract of the endpoint.
   double endpoint_clock_slowness = 0.02;
-  /// On top of the time at which a lease lapses by our reckoning.
+  /// Safety margin after the computed end of a lease.
   Duration lease_margin = std::chrono::milliseconds(300);
   /// How long an owner goes on renewing leases without proof that there is no successor. A
-  /// successor takes a run on an endpoint that it can't reach as dead only this long, and one
-  /// lease, after its own announcement. With the lease of 4 s, work outlives an outage of the store
-  /// of 7 s.
+  /// successor considers a run on an unreachable endpoint dead only after this duration plus one
+  /// lease from its own announcement. With a lease of 4 s, runs survive a store outage of 7 s.
   Duration predecessor_grace = std::chrono::milliseconds(3500);
-  /// A run whose start got no answer is asked for again after this.
+  /// Delay before an unanswered start is sent again.
   Duration start_retry = std::chrono::milliseconds(150);
-  /// So many starts without answer, then the run is stopped to settle what became of it.
+  /// Number of unanswered starts after which the run is stopped, as the answer to the stop tells
+  /// whether it ever ran.
   int start_tries = 2;
-  /// Between two stops of the same run.
+  /// Delay before the stop of a run is sent again.
   Duration stop_retry = std::chrono::milliseconds(400);
-  /// How long one renewal may wait at the endpoint for an end. Bounds how old the figures of
-  /// long-running tasks are; a fifth of the lease, so that several may fail before it lapses.
+  /// How long a renewal may wait at the endpoint for the end of a run. Limits the age of the
+  /// reported figures of long-running tasks. A fifth of the lease, so that several renewals may
+  /// fail before it lapses.
   Duration renewal_wait = std::chrono::milliseconds(800);
-  /// The same while a long-running task starts there: the next of its step may only move when it is
-  /// known to be at work.
+  /// Replaces `renewal_wait` while a long-running task starts at the endpoint, since the next task
+  /// of its step may move only once this one is known to be serving.
   Duration startup_wait = std::chrono::milliseconds(200);
-  /// Renewals while ends can't be confirmed, since then each is answered at once.
+  /// Pause between renewals while ends can't be confirmed, since the endpoint then answers each at
+  /// once.
   Duration renewal_pause = std::chrono::milliseconds(300);
-  /// An endpoint that has not answered for this long gets looks only, no renewals, so that its
-  /// leases lapse and its work can go elsewhere.
+  /// An endpoint that has not answered for this long is only polled. Its leases are not renewed, so
+  /// that they lapse and its tasks can move to other endpoints.
   Duration unresponsive_after = std::chrono::milliseconds(1500);
-  /// An endpoint is passed over for this long after runs of several jobs failed in a row.
+  /// How long an endpoint gets no tasks after runs of several jobs failed on it in a row.
   Duration ejection = std::chrono::seconds(4);
   int failures_to_eject = 3;
-  /// A run whose progress stands still this long is moved.
+  /// A run without progress for this long is moved to another endpoint.
   Duration stall_timeout = std::chrono::milliseconds(2500);
-  /// A job is worth something until this many times its objective.
+  /// A job is worthless once it takes this many times its objective.
   double late_factor = 3.0;
-  /// Wait before a failed long-running task starts again; doubles up to ten times this.
+  /// Initial delay before a failed long-running task restarts. Doubles up to ten times this value.
   Duration restart_pause = std::chrono::milliseconds(100);
-  /// How long an ended job is told of before its records are dropped.
+  /// How long callers can query an ended job before its records are removed.
   Duration ended_job_retention = std::chrono::seconds(150);
-  /// Jobs that don't fit looked at in one round before the rest waits for the next; bounds the cost
-  /// of a round when thousands wait.
+  /// Number of jobs per round that may fail to fit before the remaining jobs wait for the next
+  /// round. Limits the cost of a round when thousands of jobs wait.
   int max_unplaced_per_round = 24;
 
-  /// Whether jobs that don't fit are given up early when not all can be on time; see
+  /// Whether jobs are abandoned early when not all of them can meet their deadlines; see
   /// `OverloadPlan`.
   bool plans_overload = true;
 
   ProgressForm progress_form = ProgressForm::kRows;
 
-  /// By our clock, a lease that is given now has certainly lapsed after this.
+  /// The duration by the local clock after which a lease that is granted now has certainly lapsed.
   Duration LongestLease() const {
     const auto slowed =
         std::chrono::duration_cast<Duration>(this->lease * (1.0 + this->endpoint_clock_slowness));
--- a/src/jobs/order_round.cc
+++ b/src/jobs/order_round.cc
@@ -4,9 +4,10 @@
 
 namespace {
 
-/// In a cordoned zone a start without answer isn't repeated. It may have arrived, and what runs is
-/// to run on: a look comes within this time, and only then a stop settles it.
-constexpr Duration kLookFirst = std::chrono::milliseconds(1300);
+/// In a cordoned zone, an unanswered start isn't repeated. It may have arrived, and active runs are
+/// to continue there: a poll of the endpoint comes within this time, and a stop is sent only after
+/// that.
+constexpr Duration kPollBeforeStop = std::chrono::milliseconds(1300);
 
 }  // namespace
 
@@ -31,7 +32,7 @@
     const TaskKey key = *place++;
     const TaskRef ref = this->state.Find(key);
     if (ref && ref.task->state == RunState::kUnsure) {
-      this->GatherUnsure(ref, orders);
+      this->GatherUnconfirmed(ref, orders);
     } else if (ref && ref.task->state == RunState::kStopping) {
       this->GatherStop(ref, orders);
     } else {
@@ -43,7 +44,7 @@
     for (const auto& [id, endpoint] : this->state.endpoints) {
       if (!endpoint->strays.empty()) {
         this->state.has_strays = true;
-        this->GatherStrays(*endpoint, orders);
+        this->GatherOrphanStops(*endpoint, orders);
       }
     }
   }
@@ -51,10 +52,10 @@
   this->state.paces.clear();
 }
 
-void OrderRound::GatherUnsure(const TaskRef& ref, Orders& orders) {
+void OrderRound::GatherUnconfirmed(const TaskRef& ref, Orders& orders) {
   Task& task = *ref.task;
   const bool is_cordoned = task.endpoint->is_cordoned;
-  const Duration pause = is_cordoned ? kLookFirst : this->state.options.start_retry;
+  const Duration pause = is_cordoned ? kPollBeforeStop : this->state.options.start_retry;
   if (this->now - task.ordered < pause) {
     return;
   }
@@ -63,21 +64,22 @@
     orders.starts.push_back(this->StartOf(ref));
     return;
   }
-  if (!task.is_adopted && !this->MayBeAtWork(ref)) {
-    this->state.Tell({"start_given_up",
-                      ref.key,
-                      {},
-                      task.endpoint->record.id,
-                      "no answer to " + std::to_string(task.start_tries) + " orders; stopped"});
+  if (!task.is_adopted && !this->MayBeServing(ref)) {
+    this->state.Tell(
+        {"start_given_up",
+         ref.key,
+         {},
+         task.endpoint->record.id,
+         "no answer to " + std::to_string(task.start_tries) + " start orders; sending a stop"});
     this->state.BeginStop(ref, this->now);
     this->state.BreakGang(ref, this->now);
     this->GatherStop(ref, orders);
   }
 }
 
-/// What can go wrong: the answer is late, and the task serves its users already. A stop would take
-/// it from them beside siblings that are away. So a look that is newer than the order comes first.
-bool OrderRound::MayBeAtWork(const TaskRef& ref) const {
+/// A late answer may hide a task that already serves its users. A stop would then take it away
+/// while siblings may be away, too, so the endpoint has to be polled after the order first.
+bool OrderRound::MayBeServing(const TaskRef& ref) const {
   const Task& task = *ref.task;
   return ref.spec->is_long_running && task.endpoint->looked <= task.ordered;
 }
@@ -94,14 +96,14 @@
       {record.id, record.address, ref.key, task.progress.run, this->state.token});
 }
 
-void OrderRound::GatherStrays(EndpointState& endpoint, Orders& orders) {
-  for (auto& [stray, ordered] : endpoint.strays) {
+void OrderRound::GatherOrphanStops(EndpointState& endpoint, Orders& orders) {
+  for (auto& [orphan, ordered] : endpoint.strays) {
     if (this->now - ordered < this->state.options.stop_retry) {
       continue;
     }
     ordered = this->now;
-    orders.stops.push_back({endpoint.record.id, endpoint.record.address, stray.first, stray.second,
-                            this->state.token});
+    orders.stops.push_back({endpoint.record.id, endpoint.record.address, orphan.first,
+                            orphan.second, this->state.token});
   }
 }
 
--- a/src/jobs/order_round.h
+++ b/src/jobs/order_round.h
@@ -4,20 +4,20 @@
 
 namespace chervilspar::jobs {
 
-/// Gathers the starts and stops that have to be sent, or sent again, now.
+/// Collects the starts and stops that are due to be sent, or sent again.
 class OrderRound {
  public:
   OrderRound(SchedulerState& state, TimePoint now) : state(state), now(now) {}
 
   void Gather(Orders& orders);
-  /// The start of a task whose placement is stored.
+  /// Builds the start of a task whose placement is stored, and counts it as an attempt.
   StartOrder StartOf(const TaskRef& ref);
 
  private:
-  void GatherUnsure(const TaskRef& ref, Orders& orders);
-  bool MayBeAtWork(const TaskRef& ref) const;
+  void GatherUnconfirmed(const TaskRef& ref, Orders& orders);
+  bool MayBeServing(const TaskRef& ref) const;
   void GatherStop(const TaskRef& ref, Orders& orders);
-  void GatherStrays(EndpointState& endpoint, Orders& orders);
+  void GatherOrphanStops(EndpointState& endpoint, Orders& orders);
 
   SchedulerState& state;
   const TimePoint now;
--- a/src/jobs/placement.cc
+++ b/src/jobs/placement.cc
@@ -7,18 +7,18 @@
 
 namespace {
 
-/// Costs are in thousandths of a core left over. These are larger than any endpoint, so that they
-/// decide first, in this order.
+/// Costs are in thousandths of a core that stay free. The following are larger than any endpoint,
+/// so that they take precedence over its free capacity.
 constexpr std::int64_t kFailedThereCost = 100'000'000;
-constexpr std::int64_t kFarRackCost = 10'000'000;
-/// For an endpoint whose VM is to be rebooted soon: the task would have to move once more.
-constexpr std::int64_t kDueCost = 20'000'000;
-/// For an endpoint that would get its first long-running task: those without any can be moved
-/// between pools as demand asks, since no move may end a task that serves users.
-constexpr std::int64_t kOpeningCost = 3'000'000;
-/// For each serving or filling task on the endpoint that the task would share it with. Less than
-/// opening another endpoint: five tasks on as many endpoints keep two VMs paid for that could be
-/// off, while only the loss of a VM then takes two of them at once.
+constexpr std::int64_t kOtherRackCost = 10'000'000;
+/// For an endpoint whose VM will be rebooted soon, as the task would have to move again.
+constexpr std::int64_t kRebootSoonCost = 20'000'000;
+/// For an endpoint that would get its first serving task. Endpoints without any can move between
+/// pools with demand, as no move may end a task that serves users.
+constexpr std::int64_t kFirstServingTaskCost = 3'000'000;
+/// For each serving or filler task that the task would share the endpoint with. Less than
+/// `kFirstServingTaskCost`: spreading five tasks over five endpoints keeps two VMs running that
+/// could be off, while sharing costs two tasks at once only if a VM is lost.
 constexpr std::int64_t kSharingCost = 1'000'000;
 
 bool HasLabelFor(const TaskRef& ref, const EndpointState& endpoint) {
@@ -83,8 +83,8 @@
     }
   }
   const bool opens_another = IsServing(*ref.spec) && !has_serving;
-  return shared * kSharingCost + (opens_another ? kOpeningCost : 0) +
-         (endpoint.is_due ? kDueCost : 0);
+  return shared * kSharingCost + (opens_another ? kFirstServingTaskCost : 0) +
+         (endpoint.is_due ? kRebootSoonCost : 0);
 }
 
 std::int64_t Placement::Cost(const TaskRef& ref, const EndpointState& endpoint) const {
@@ -93,7 +93,7 @@
     cost += kFailedThereCost;
   }
   if (!ref.spec->data_rack.empty() && !endpoint.record.HasLabel(ref.spec->data_rack)) {
-    cost += kFarRackCost;
+    cost += kOtherRackCost;
   }
   const std::int64_t left = endpoint.Room().cpu - RoomFor(*ref.spec).cpu;
   const bool is_spread = ref.spec->is_long_running;
@@ -110,10 +110,12 @@
   EndpointState* best = nullptr;
   std::int64_t best_cost = std::numeric_limits<std::int64_t>::max();
   for (EndpointState* endpoint : pool->second.endpoints) {
-    const Resources room = endpoint->Room();
-    // What is left over is the least that batch work costs; most endpoints end here.
-    const bool is_dearer = !ref.spec->is_long_running && room.cpu - need.cpu >= best_cost;
-    if (is_dearer || !room.Fits(need) || reserved.contains(endpoint) ||
+    const Resources free_capacity = endpoint->Room();
+    // The remaining free cpu is a lower bound of the cost of a batch task and rules out most
+    // endpoints.
+    const bool is_costlier =
+        !ref.spec->is_long_running && free_capacity.cpu - need.cpu >= best_cost;
+    if (is_costlier || !free_capacity.Fits(need) || reserved.contains(endpoint) ||
         !this->MayRunOn(ref, *endpoint, now)) {
       continue;
     }
@@ -126,7 +128,7 @@
   return best;
 }
 
-bool Placement::IsHeldByCordon(const TaskRef& ref) const {
+bool Placement::IsBlockedByCordon(const TaskRef& ref) const {
   const auto pool = this->state.pools.find(ref.job->service);
   if (pool == this->state.pools.end()) {
     return false;
@@ -138,7 +140,7 @@
   });
 }
 
-EndpointState* Placement::ChooseToKeepFree(const TaskRef& ref, TimePoint now) const {
+EndpointState* Placement::ChooseToReserve(const TaskRef& ref, TimePoint now) const {
   const auto pool = this->state.pools.find(ref.job->service);
   EndpointState* best = nullptr;
   if (pool == this->state.pools.end()) {
--- a/src/jobs/placement.h
+++ b/src/jobs/placement.h
@@ -6,22 +6,24 @@
 
 /// Chooses the endpoint for a task.
 ///
-/// Batch work goes where least room is left over, so that large tasks still find room in one
-/// piece; long-running work that serves users is spread, so that it neither shares its endpoint
-/// with fillers nor is lost together with its siblings.
+/// Batch tasks are placed by best fit, which keeps contiguous capacity for large tasks.
+/// Long-running tasks that serve users are spread, so that they don't share an endpoint with
+/// fillers and aren't lost together with their siblings.
 class Placement {
  public:
   explicit Placement(SchedulerState& state) : state(state) {}
 
-  /// Null when no endpoint has room now. `reserved`: kept free for a task that waits longer.
+  /// Null if no endpoint has enough free capacity now. Endpoints in `reserved` are kept for tasks
+  /// that have waited longer.
   EndpointState* Choose(const TaskRef& ref, const std::set<EndpointState*>& reserved,
                         TimePoint now) const;
-  /// True when the endpoint may get new work at all.
+  /// True if the endpoint accepts new tasks at all.
   static bool IsUsable(const EndpointState& endpoint, TimePoint now);
-  /// True when only cordons keep the task from some endpoint.
-  bool IsHeldByCordon(const TaskRef& ref) const;
-  /// The endpoint that will soonest have room for a task that fits nowhere now; null for none.
-  EndpointState* ChooseToKeepFree(const TaskRef& ref, TimePoint now) const;
+  /// True if some endpoint could run the task but for a cordon.
+  bool IsBlockedByCordon(const TaskRef& ref) const;
+  /// The endpoint to reserve for a task that fits nowhere now: the one with the most free cpu of
+  /// those that are large enough. Null if there is none.
+  EndpointState* ChooseToReserve(const TaskRef& ref, TimePoint now) const;
 
  private:
   bool MayRunOn(const TaskRef& ref, const EndpointState& endpoint, TimePoint now) const;
--- a/src/jobs/placing_round.cc
+++ b/src/jobs/placing_round.cc
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// Between two plans of who is served on time; a plan of 500 jobs takes about a millisecond.
-constexpr Duration kPlanPace = std::chrono::milliseconds(50);
-/// Part of the cpu that tasks fill. More than the sizer counts on: what is there is used, while VMs
-/// are ordered with some to spare.
-constexpr double kUsable = 0.85;
-/// Estimates are rough, and a job that begins a little after its latest start is often still on
-/// time.
-constexpr double kGrace = 200;
+/// Interval of the overload plans. A plan of 500 jobs takes about a millisecond.
+constexpr Duration kPlanInterval = std::chrono::milliseconds(50);
+/// The share of the cpu that tasks can use. More than the pool sizer assumes, as existing capacity
+/// is used fully while VMs are ordered with some spare capacity.
+constexpr double kUsableCpuShare = 0.85;
+/// Added to the slack of a job. Estimates are rough, and a job that starts a little after its
+/// latest start often still meets its deadline.
+constexpr double kSlackToleranceMs = 200;
 
 }  // namespace
 
@@ -31,7 +31,7 @@
 void PlacingRound::PlacePool(PoolState& pool) {
   constexpr std::int64_t kFirst = std::numeric_limits<std::int64_t>::min();
   this->reserved.clear();
-  this->misses = 0;
+  this->unplaced_jobs = 0;
   std::vector<std::uint32_t> ranks;
   for (auto place = pool.ready.begin(); place != pool.ready.end();) {
     ranks.push_back(place->rank);
@@ -41,27 +41,27 @@
   for (const std::uint32_t rank : ranks) {
     const std::int64_t begin = rank == 0 ? kFirst : this->wall_ms;
     if (!this->PlaceBetween(pool, {rank, begin, {}}, {rank + 1, kFirst, {}},
-                            Which::kServedOnTime)) {
+                            JobFilter::kExpectedOnTime)) {
       return;
     }
   }
-  // What is left is kept for those that can still be on time.
-  if (this->misses > 0) {
+  // The remaining capacity is for jobs that can still meet their deadlines.
+  if (this->unplaced_jobs > 0) {
     return;
   }
   for (const std::uint32_t rank : ranks) {
-    const bool goes_on =
+    const bool may_continue =
         rank == 0 ||
         (this->PlaceBetween(pool, {rank, this->wall_ms, {}}, {rank + 1, kFirst, {}},
-                            Which::kGivenUp) &&
-         this->PlaceBetween(pool, {rank, kFirst, {}}, {rank, this->wall_ms, {}}, Which::kAll));
-    if (!goes_on) {
+                            JobFilter::kAbandoned) &&
+         this->PlaceBetween(pool, {rank, kFirst, {}}, {rank, this->wall_ms, {}}, JobFilter::kAll));
+    if (!may_continue) {
       return;
     }
   }
 }
 
-double PlacingRound::WorkLeft(const JobState& job) const {
+double PlacingRound::RemainingWork(const JobState& job) const {
   double work = 0;
   for (const auto& [number, occurrence] : job.occurrences) {
     for (std::size_t i = 0; i < occurrence.steps.size(); ++i) {
@@ -77,7 +77,7 @@
 }
 
 void PlacingRound::PlanOverload(PoolState& pool) {
-  if (!this->state.options.plans_overload || this->now - pool.planned < kPlanPace) {
+  if (!this->state.options.plans_overload || this->now - pool.planned < kPlanInterval) {
     return;
   }
   pool.planned = this->now;
@@ -87,7 +87,7 @@
       continue;
     }
     if (Placement::IsUsable(*endpoint, this->now)) {
-      cpu += static_cast<double>(endpoint->record.capacity.cpu) * kUsable;
+      cpu += static_cast<double>(endpoint->record.capacity.cpu) * kUsableCpuShare;
     }
     for (const TaskKey& key : endpoint->claims) {
       const TaskRef ref = this->state.Find(key);
@@ -99,9 +99,10 @@
     JobState& job = *this->state.FindJob(key.job);
     job.is_given_up = false;
     if (key.rank > 0 && key.latest_start_ms >= this->wall_ms) {
-      urgent.push_back({key.job, job.job.team,
-                        static_cast<double>(key.latest_start_ms - this->wall_ms) + kGrace,
-                        this->WorkLeft(job)});
+      urgent.push_back(
+          {key.job, job.job.team,
+           static_cast<double>(key.latest_start_ms - this->wall_ms) + kSlackToleranceMs,
+           this->RemainingWork(job)});
     }
   }
   std::stable_sort(urgent.begin(), urgent.end(), [](const UrgentJob& one, const UrgentJob& other) {
@@ -117,14 +118,15 @@
 }
 
 bool PlacingRound::PlaceBetween(PoolState& pool, const ReadyKey& begin, const ReadyKey& end,
-                                Which which) {
+                                JobFilter filter) {
   auto place = pool.ready.lower_bound(begin);
   while (place != pool.ready.end() && *place < end) {
     const ReadyKey key = *place;
     JobState& job = *this->state.FindJob(key.job);
-    const bool is_meant = which == Which::kAll || job.is_given_up == (which == Which::kGivenUp);
-    if (is_meant && !this->PlaceJob(job) &&
-        ++this->misses >= this->state.options.max_unplaced_per_round) {
+    const bool is_selected =
+        filter == JobFilter::kAll || job.is_given_up == (filter == JobFilter::kAbandoned);
+    if (is_selected && !this->PlaceJob(job) &&
+        ++this->unplaced_jobs >= this->state.options.max_unplaced_per_round) {
       return false;
     }
     place = pool.ready.upper_bound(key);
@@ -134,7 +136,7 @@
 
 bool PlacingRound::PlaceJob(JobState& job) {
   bool is_placed = true;
-  this->wait = WaitReason::kNone;
+  this->wait_reason = WaitReason::kNone;
   for (auto& [number, occurrence] : job.occurrences) {
     for (std::uint32_t step = 0; step < occurrence.steps.size(); ++step) {
       if (occurrence.steps[step].is_open && !this->PlaceStep(job, number, step)) {
@@ -143,21 +145,21 @@
     }
   }
   this->state.RefreshReady(job);
-  this->TellWait(job);
+  this->LogWaitReason(job);
   return is_placed;
 }
 
-void PlacingRound::TellWait(JobState& job) {
+void PlacingRound::LogWaitReason(JobState& job) {
   const bool is_late = this->wall_ms > job.deadline_ms;
-  if (this->wait == WaitReason::kNone || this->wait == job.told_wait || !is_late) {
+  if (this->wait_reason == WaitReason::kNone || this->wait_reason == job.told_wait || !is_late) {
     return;
   }
-  job.told_wait = this->wait;
+  job.told_wait = this->wait_reason;
   this->state.Tell({"job_waits",
                     {},
                     job.job.id,
                     "",
-                    std::string(ToString(this->wait)) + "; late by " +
+                    std::string(ToString(this->wait_reason)) + "; late by " +
                         std::to_string(this->wall_ms - job.deadline_ms) + " ms"});
 }
 
@@ -173,39 +175,39 @@
       continue;
     }
     if (this->NeedsAdvice(ref)) {
-      this->wait = WaitReason::kAdvice;
-      return true;  // a question is under way; nobody waits for room
+      this->wait_reason = WaitReason::kAdvice;
+      return true;  // The adviser is asked first; no capacity is reserved meanwhile.
     }
     if (!this->state.IsWithinCap(job, ref.spec->need)) {
-      this->wait = WaitReason::kTeamLimit;
-      return true;  // the team's own limit, not a lack of room
+      this->wait_reason = WaitReason::kTeamLimit;
+      return true;  // The limit of the team blocks the task, not a lack of capacity.
     }
     if (ref.spec->is_gang) {
       return this->PlaceGang(ref);
     }
     if (!this->PlaceTask(ref, this->reserved, ref.task->progress.run + 1)) {
-      // What no endpoint may run doesn't hold up those that come after it.
-      const bool could_run = this->KeepRoomFor(ref);
+      // A task that no endpoint can run doesn't block the jobs after it.
+      const bool could_run = this->ReserveEndpointFor(ref);
       const WaitReason nowhere =
-          this->placement.IsHeldByCordon(ref) ? WaitReason::kCordoned : WaitReason::kNowhere;
-      this->wait = could_run ? WaitReason::kNoRoom : nowhere;
+          this->placement.IsBlockedByCordon(ref) ? WaitReason::kCordoned : WaitReason::kNowhere;
+      this->wait_reason = could_run ? WaitReason::kNoRoom : nowhere;
       return !could_run;
     }
   }
   return true;
 }
 
-bool PlacingRound::KeepRoomFor(const TaskRef& ref) {
-  EndpointState* kept = this->placement.ChooseToKeepFree(ref, this->now);
-  if (kept != nullptr && this->reserved.size() < kMostReserved) {
-    this->reserved.insert(kept);
+bool PlacingRound::ReserveEndpointFor(const TaskRef& ref) {
+  EndpointState* endpoint = this->placement.ChooseToReserve(ref, this->now);
+  if (endpoint != nullptr && this->reserved.size() < kMaxReserved) {
+    this->reserved.insert(endpoint);
   }
-  return kept != nullptr;
+  return endpoint != nullptr;
 }
 
 bool PlacingRound::PlaceTask(const TaskRef& ref, const std::set<EndpointState*>& excluded,
                              std::uint64_t run) {
-  this->state.GiveUpRoom(ref.key);  // it is the task's own
+  this->state.GiveUpRoom(ref.key);  // The capacity was reserved for this task.
   EndpointState* endpoint = this->placement.Choose(ref, excluded, this->now);
   if (endpoint == nullptr) {
     return false;
@@ -232,7 +234,7 @@
   Resources need;
   for (const Task& member : first.step->tasks) {
     if (!member.IsWaiting() || member.not_before > this->now) {
-      return true;  // its last run has not ended everywhere
+      return true;  // Its last run has not ended on all endpoints.
     }
     run = std::max(run, member.progress.run);
     if (checkpoint.empty()) {
--- a/src/jobs/placing_round.h
+++ b/src/jobs/placing_round.h
@@ -5,11 +5,11 @@
 
 namespace chervilspar::jobs {
 
-/// One round of placing what waits in each pool.
+/// One round of placing the waiting tasks of each pool.
 ///
-/// The load that it answers: a queue that asks for more than its pool holds for some seconds. Those
-/// that can still be on time go first, in the order of their latest start; late ones fill what is
-/// left. Served oldest first, everybody is late as soon as the queue is longer than the slack.
+/// When the demand of a queue exceeds its pool for some seconds, jobs that can still meet their
+/// deadlines go first, in the order of their latest start, and late jobs take the remaining
+/// capacity. Oldest first would make every job late as soon as the queue is longer than the slack.
 class PlacingRound {
  public:
   PlacingRound(SchedulerState& state, TimePoint now, std::int64_t wall_ms)
@@ -19,14 +19,15 @@
 
  private:
   void PlacePool(PoolState& pool);
-  enum class Which { kServedOnTime, kGivenUp, kAll };
+  enum class JobFilter { kExpectedOnTime, kAbandoned, kAll };
 
-  /// Places jobs from `begin` up to `end`; false when the round has to end.
-  bool PlaceBetween(PoolState& pool, const ReadyKey& begin, const ReadyKey& end, Which which);
-  /// Decides which jobs are served on time if not all can be.
+  /// Places jobs from `begin` up to, but not including, `end`. False if the round has to end.
+  bool PlaceBetween(PoolState& pool, const ReadyKey& begin, const ReadyKey& end, JobFilter filter);
+  /// Decides which jobs to abandon if not all of them can meet their deadlines.
   void PlanOverload(PoolState& pool);
-  double WorkLeft(const JobState& job) const;
-  /// False when something of the job found no room, although an endpoint could have it.
+  /// Estimated work of the waiting tasks, in thousandths of a core times milliseconds.
+  double RemainingWork(const JobState& job) const;
+  /// False if a task of the job found no free capacity, although some endpoint is large enough.
   bool PlaceJob(JobState& job);
   bool PlaceStep(JobState& job, std::uint32_t occurrence, std::uint32_t step);
   bool PlaceGang(const TaskRef& first);
@@ -34,23 +35,24 @@
                     const std::set<EndpointState*>& excluded);
   bool PlaceOnOneRack(const TaskRef& first, std::uint64_t run);
   bool PlaceTask(const TaskRef& ref, const std::set<EndpointState*>& excluded, std::uint64_t run);
-  /// False when no endpoint of the pool could ever run the task as things are.
-  bool KeepRoomFor(const TaskRef& ref);
-  /// For those who ask why a job is late.
-  void TellWait(JobState& job);
+  /// Reserves an endpoint for the task. False if no usable endpoint of the pool is large enough.
+  bool ReserveEndpointFor(const TaskRef& ref);
+  /// Logs what a late job waits for, once per reason.
+  void LogWaitReason(JobState& job);
   bool NeedsAdvice(const TaskRef& ref) const;
 
   SchedulerState& state;
   Placement placement;
   const TimePoint now;
   const std::int64_t wall_ms;
-  /// Endpoints kept free for jobs that found no room in this pool.
+  /// Endpoints reserved for jobs that found no free capacity in this pool.
   std::set<EndpointState*> reserved;
-  int misses = 0;
-  /// What the job that was placed last waits for.
-  WaitReason wait = WaitReason::kNone;
-  /// Several jobs are kept room for, as one endpoint may stay busy for long.
-  static constexpr std::size_t kMostReserved = 2;
+  /// Jobs of this pool that did not fit in this round.
+  int unplaced_jobs = 0;
+  /// What the job that was handled last waits for.
+  WaitReason wait_reason = WaitReason::kNone;
+  /// More than one, as a single endpoint may stay busy for long.
+  static constexpr std::size_t kMaxReserved = 2;
 };
 
 }  // namespace chervilspar::jobs
--- a/src/jobs/scheduler.cc
+++ b/src/jobs/scheduler.cc
@@ -13,12 +13,12 @@
 
 namespace {
 
-/// Between two looks at all endpoints for lapsed leases and tasks that are to move; both are about
-/// seconds, and a round comes every few milliseconds.
-constexpr Duration kReviewPace = std::chrono::milliseconds(20);
-/// An endpoint without work is asked for its clock again after this: with each second the first
-/// lease there gets 20 ms shorter, and each look is priced.
-constexpr Duration kClockKept = std::chrono::seconds(60);
+/// Interval of the checks of all endpoints for lapsed leases and tasks to move. Both concern
+/// seconds, while rounds are a few milliseconds apart.
+constexpr Duration kReviewInterval = std::chrono::milliseconds(20);
+/// The age at which the clock of an idle endpoint is read again. Each second of age shortens the
+/// first lease there by 20 ms, but each request has a cost.
+constexpr Duration kMaxClockAge = std::chrono::seconds(60);
 
 }  // namespace
 
@@ -41,7 +41,7 @@
   }
 }
 
-void Scheduler::Impl::RenewPools() {
+void Scheduler::Impl::RebuildPools() {
   for (auto& [service, pool] : this->state.pools) {
     pool.endpoints.clear();
   }
@@ -88,7 +88,7 @@
     }
     return is_gone;
   });
-  this->impl->RenewPools();
+  this->impl->RebuildPools();
 }
 
 void Scheduler::AddJob(const Job& job, WallTime wall) {
@@ -110,7 +110,7 @@
   }
   if (state.cancelled_early.erase(job.id) > 0) {
     entry.is_cancelled = true;
-    this->impl->maybe_ended.push_back(job.id);
+    this->impl->end_candidates.push_back(job.id);
   }
   state.RefreshReady(entry);
   state.pools[entry.service].arrived_jobs += job.IsLongRunning() ? 0 : 1;
@@ -150,7 +150,7 @@
       job->complete_occurrences.insert(i);
     }
   }
-  // Without a date, runs of it may be left; they are found by its rows.
+  // Without an end date, runs of the job may still be active; its rows list them.
   if (progress.IsEnded() && (progress.ended_ms != 0 || job->job.steps.empty())) {
     job->ended_ms = progress.ended_ms != 0 ? progress.ended_ms : this->impl->state.wall_ms;
     if (progress.ended_ms == 0) {
@@ -189,7 +189,7 @@
   }
   if (job->IsOver()) {
     state.StopAll(*job, state.began);
-    this->impl->maybe_ended.push_back(id);
+    this->impl->end_candidates.push_back(id);
   }
   if (job->Phase() != job->stored_phase) {
     state.MarkDirty(*job);
@@ -220,13 +220,13 @@
     return;
   }
   job->is_cancelled = true;
-  state.Tell({"job_cancelled", {}, id, "", "by its caller"});
+  state.Tell({"job_cancelled", {}, id, "", "cancelled by its caller"});
   state.StopAll(*job, state.began);
   state.MarkDirty(*job);
 }
 
-void Scheduler::OnHeld(const HoldOrder& order, const HoldReport& report, TimePoint sent,
-                       TimePoint now) {
+void Scheduler::OnRenewalAnswered(const HoldOrder& order, const HoldReport& report, TimePoint sent,
+                                  TimePoint now) {
   EndpointState* endpoint = this->impl->state.FindEndpoint(order.endpoint);
   if (endpoint == nullptr) {
     return;
@@ -236,10 +236,10 @@
     endpoint->confirmed_end = std::max(endpoint->confirmed_end, order.confirmed_end);
   }
   this->impl->pacing.Review(*endpoint);
-  this->impl->ReviewStalls(*endpoint, now);
+  this->impl->StopStalledRuns(*endpoint, now);
 }
 
-void Scheduler::Impl::ReviewStalls(EndpointState& endpoint, TimePoint now) {
+void Scheduler::Impl::StopStalledRuns(EndpointState& endpoint, TimePoint now) {
   const std::vector<TaskKey> claims(endpoint.claims.begin(), endpoint.claims.end());
   for (const TaskKey& key : claims) {
     const TaskRef ref = this->state.Find(key);
@@ -251,7 +251,7 @@
                         key,
                         {},
                         endpoint.record.id,
-                        "at " + std::to_string(task.percent) + "% for too long"});
+                        "no progress beyond " + std::to_string(task.percent) + "% for too long"});
       ref.task->avoid = endpoint.record.id;
       endpoint.ejected_until = now + this->state.options.ejection;
       this->state.BeginStop(ref, now);
@@ -309,8 +309,8 @@
 }
 
 void Scheduler::Impl::EndJobs(std::int64_t now_ms) {
-  std::vector<JobId> candidates = std::move(this->maybe_ended);
-  this->maybe_ended.clear();
+  std::vector<JobId> candidates = std::move(this->end_candidates);
+  this->end_candidates.clear();
   for (const JobId& id : candidates) {
     JobState* job = this->state.FindJob(id);
     if (job == nullptr || !job->IsOver() || job->claims > 0 || job->ended_ms != 0) {
@@ -326,7 +326,7 @@
                       std::string(ToString(job->Phase())) + " " +
                           std::to_string(now_ms - job->job.taken_ms) +
                           " ms after it was accepted, " +
-                          (now_ms > job->deadline_ms ? "late by " : "in time by ") +
+                          (now_ms > job->deadline_ms ? "late by " : "on time by ") +
                           std::to_string(std::abs(now_ms - job->deadline_ms)) + " ms"});
     this->state.MarkDirty(*job);
     this->state.RefreshReady(*job);
@@ -337,8 +337,8 @@
   Impl& self = *this->impl;
   self.state.wall_ms = ToUnixMs(wall);
   self.CreateDueOccurrences(self.state.wall_ms);
-  if (now - self.reviewed >= kReviewPace) {
-    self.reviewed = now;
+  if (now - self.last_review >= kReviewInterval) {
+    self.last_review = now;
     self.tracker.LapseLeases(now);
     LapseReview(self.state, now).Run();
     self.state.GiveUpOldRooms(now);
@@ -360,20 +360,21 @@
   plan.order.endpoint = id;
   plan.order.address = endpoint->record.address;
   plan.order.token = state.token;
-  // A life that began unnoticed would take a confirmation for one of its own ends.
+  // An endpoint that restarted unnoticed would take the confirmation for an end of its current
+  // incarnation.
   const bool has_to_confirm = endpoint->confirmed_end < endpoint->stored_end;
   plan.order.confirmed_end =
       has_to_confirm && !endpoint->is_silent ? endpoint->stored_end : std::uint64_t{0};
   const bool has_claims = !endpoint->claims.empty();
   const bool is_known = endpoint->clock_ms.has_value();
-  const bool is_clock_old = is_known && now - endpoint->clock_at > kClockKept;
+  const bool is_clock_old = is_known && now - endpoint->clock_at > kMaxClockAge;
   plan.is_needed =
       has_claims || !endpoint->strays.empty() ||
       (endpoint->is_registered && (!is_known || is_clock_old || endpoint->is_silent)) ||
       endpoint->confirmed_end < endpoint->seen_end;
-  const bool is_heard = is_known && now - endpoint->heard < state.options.unresponsive_after;
-  const bool is_reached = is_known && (is_heard || !endpoint->is_silent);
-  if (this->MayRenew(now) && has_claims && is_reached && !endpoint->has_lapse_notice) {
+  const bool is_responsive = is_known && now - endpoint->heard < state.options.unresponsive_after;
+  const bool is_reachable = is_known && (is_responsive || !endpoint->is_silent);
+  if (this->MayRenew(now) && has_claims && is_reachable && !endpoint->has_lapse_notice) {
     const Duration lease = state.options.lease;
     plan.order.lease_end_ms =
         endpoint->EarliestClockAt(now, state.options.endpoint_clock_slowness) +
--- a/src/jobs/scheduler_advice.cc
+++ b/src/jobs/scheduler_advice.cc
@@ -5,12 +5,12 @@
 
 namespace {
 
-/// Endpoints named in one question to the adviser; more make its answer late.
-constexpr std::size_t kMostAdvised = 30;
-/// A question without answer is asked again after this.
+/// The number of endpoints in one request. More of them make the answer of the adviser late.
+constexpr std::size_t kMaxEndpointsPerRequest = 30;
+/// Delay before an unanswered request is sent again.
 constexpr Duration kAdviceRetry = std::chrono::milliseconds(1500);
-/// Questions that may wait at once: the adviser handles one after the other.
-constexpr std::size_t kMostQuestions = 4;
+/// The number of pending requests per pool. The adviser handles them one after the other.
+constexpr std::size_t kMaxPendingRequests = 4;
 
 }  // namespace
 
@@ -35,9 +35,9 @@
 
 std::vector<AdviceRequest> Scheduler::TakeAdviceRequests(TimePoint now) {
   SchedulerState& state = this->impl->state;
-  std::vector<AdviceRequest> questions;
+  std::vector<AdviceRequest> requests;
   for (auto& [service, pool] : state.pools) {
-    std::size_t asked = 0;
+    std::size_t pending = 0;
     for (const ReadyKey& ready : pool.ready) {
       JobState& job = *state.FindJob(ready.job);
       const auto queue = state.policy.queues.find(job.job.queue);
@@ -48,29 +48,30 @@
         for (std::uint32_t i = 0; i < occurrence.steps.size(); ++i) {
           StepAdvice& advice = occurrence.steps[i].advice;
           const bool is_pending = advice.is_asked && now - advice.asked < kAdviceRetry;
-          asked += is_pending ? 1 : 0;
+          pending += is_pending ? 1 : 0;
           if (occurrence.steps[i].IsDone() || advice.valid_until > now || is_pending ||
-              asked >= kMostQuestions) {
+              pending >= kMaxPendingRequests) {
             continue;
           }
-          AdviceRequest question{{job.job.id, number, i, 0}, {}};
+          AdviceRequest request{{job.job.id, number, i, 0}, {}};
           for (const EndpointState* endpoint : pool.endpoints) {
-            if (question.endpoints.size() < kMostAdvised && Placement::IsUsable(*endpoint, now)) {
-              question.endpoints.push_back(endpoint->record.id);
+            if (request.endpoints.size() < kMaxEndpointsPerRequest &&
+                Placement::IsUsable(*endpoint, now)) {
+              request.endpoints.push_back(endpoint->record.id);
             }
           }
-          if (question.endpoints.empty()) {
+          if (request.endpoints.empty()) {
             continue;
           }
           advice.is_asked = true;
           advice.asked = now;
-          ++asked;
-          questions.push_back(std::move(question));
+          ++pending;
+          requests.push_back(std::move(request));
         }
       }
     }
   }
-  return questions;
+  return requests;
 }
 
 }  // namespace chervilspar::jobs
--- a/src/jobs/scheduler_impl.h
+++ b/src/jobs/scheduler_impl.h
@@ -16,23 +16,23 @@
 
 /// The jobs of one queue of which no task has started.
 struct WaitingJobs {
-  /// As callers are told.
+  /// The number reported to callers.
   std::uint64_t jobs = 0;
-  /// Of these, the ones with a claim on an endpoint that has not confirmed their runs.
+  /// Of `jobs`, those with a claim on an endpoint that has not confirmed a run of theirs.
   std::uint64_t claimed = 0;
-  /// Of these, the ones whose claims were given up before a run was confirmed.
-  std::uint64_t returned = 0;
+  /// Of `jobs`, those whose claims were released before a run was confirmed.
+  std::uint64_t released = 0;
 };
 
-/// Jobs of which no task has started, as last counted.
+/// Cached counts of the jobs of which no task has started.
 struct PendingCount {
   std::optional<std::int64_t> counted_ms;
   std::map<std::string, WaitingJobs> queues;
-  /// Queues of which this count was logged.
-  std::set<std::string> told;
+  /// Queues whose current count was logged.
+  std::set<std::string> logged_queues;
 };
 
-/// What a scheduler consists of; its public functions stand in several files by subject.
+/// The implementation of `Scheduler`, whose public functions are defined in several files by topic.
 class Scheduler::Impl {
  public:
   Impl(const SchedulerOptions& options, std::uint64_t token, TimePoint now)
@@ -40,18 +40,18 @@
 
   void CreateDueOccurrences(std::int64_t wall_ms);
   void EndJobs(std::int64_t wall_ms);
-  void RenewPools();
-  void ReviewStalls(EndpointState& endpoint, TimePoint now);
+  void RebuildPools();
+  void StopStalledRuns(EndpointState& endpoint, TimePoint now);
   JobProgress ProgressOf(const JobState& job) const;
   PendingCount CountPending() const;
-  /// The task if its placement in the batch still stands; else nothing.
+  /// The task if its placement in the batch is still current, otherwise an empty reference.
   TaskRef FindRecorded(const TaskKey& key, std::uint64_t run);
-  void WithdrawUnwanted(TimePoint now);
+  void WithdrawObsoleteStarts(TimePoint now);
 
   SchedulerState state;
   RunTracker tracker;
   Pacing pacing;
-  /// What the batch that is being stored allows once it is.
+  /// Effects of the outstanding batch, applied once it is stored.
   std::vector<std::pair<TaskKey, std::uint64_t>> recorded_starts;
   std::vector<std::pair<JobId, JobPhase>> recorded_phases;
   struct RecordedEnds {
@@ -60,18 +60,18 @@
     std::uint64_t end = 0;
   };
   std::vector<RecordedEnds> recorded_ends;
-  /// Endpoints whose lapse notices the batch drops.
+  /// Endpoints whose lapse notices the batch removes.
   std::vector<std::string> recorded_lapse_drops;
-  /// Jobs whose end is stored since they were last asked for.
+  /// Jobs whose end was stored since the last call of `TakeEndedJobs`.
   std::vector<JobId> ended_stored;
-  bool is_batch_out = false;
-  /// Jobs that may have come to their end.
-  std::vector<JobId> maybe_ended;
-  /// Jobs whose progress is to be dropped with the next batch.
+  bool is_batch_outstanding = false;
+  /// Jobs that may have ended.
+  std::vector<JobId> end_candidates;
+  /// Jobs whose progress the next batch removes.
   std::vector<JobId> forgotten;
   PendingCount pending;
-  /// When leases and evacuations were last reviewed.
-  TimePoint reviewed{};
+  /// When leases and evacuations were last checked.
+  TimePoint last_review{};
 };
 
 }  // namespace chervilspar::jobs
--- a/src/jobs/scheduler_ready.cc
+++ b/src/jobs/scheduler_ready.cc
@@ -33,10 +33,11 @@
         const auto queue = this->policy.queues.find(job.job.queue);
         const std::uint32_t priority =
             queue == this->policy.queues.end() ? 0 : queue->second.priority;
-        const std::int64_t due =
+        const std::int64_t due_offset_ms =
             job.job.IsScheduled() ? std::int64_t{number} * job.job.interval_ms : 0;
         key = ReadyKey{job.job.IsLongRunning() ? 0 : 1 + priority,
-                       job.deadline_ms + due - this->RemainingChain(job, occurrence), job.job.id};
+                       job.deadline_ms + due_offset_ms - this->RemainingChain(job, occurrence),
+                       job.job.id};
         break;
       }
     }
@@ -58,7 +59,7 @@
   const auto queue = this->policy.queues.find(job.job.queue);
   job.needs_advice = queue != this->policy.queues.end() && queue->second.advice;
   if (queue == this->policy.queues.end()) {
-    return;  // The queue was taken away; what was accepted still runs where it was meant to.
+    return;  // The queue was removed. Accepted jobs still run in its former pool.
   }
   if (job.service != queue->second.service && job.ready) {
     this->pools[job.service].ready.erase(*job.ready);
@@ -66,20 +67,20 @@
   }
   job.service = queue->second.service;
   job.attempts = std::max<std::uint32_t>(queue->second.attempts, 1);
-  Occurrence fresh;
-  fresh.steps.resize(job.job.steps.size());
-  for (StepState& step : fresh.steps) {
+  Occurrence unstarted;
+  unstarted.steps.resize(job.job.steps.size());
+  for (StepState& step : unstarted.steps) {
     step.tasks.resize(1);
   }
-  const auto chain = static_cast<double>(this->RemainingChain(job, fresh));
-  const auto target =
+  const auto chain_ms = static_cast<double>(this->RemainingChain(job, unstarted));
+  const auto target_ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(queue->second.target).count();
-  const std::int64_t objective =
-      static_cast<std::int64_t>(queue->second.slack_factor * chain) + target;
-  const std::int64_t begin = job.job.IsScheduled() ? job.job.first_due_ms : job.job.taken_ms;
-  job.deadline_ms = begin + objective;
-  job.worthless_ms =
-      begin + static_cast<std::int64_t>(this->options.late_factor * static_cast<double>(objective));
+  const std::int64_t objective_ms =
+      static_cast<std::int64_t>(queue->second.slack_factor * chain_ms) + target_ms;
+  const std::int64_t begin_ms = job.job.IsScheduled() ? job.job.first_due_ms : job.job.taken_ms;
+  job.deadline_ms = begin_ms + objective_ms;
+  job.worthless_ms = begin_ms + static_cast<std::int64_t>(this->options.late_factor *
+                                                          static_cast<double>(objective_ms));
 }
 
 bool SchedulerState::IsWithinCap(const JobState& job, const Resources& need) const {
--- a/src/jobs/scheduler_records.cc
+++ b/src/jobs/scheduler_records.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// A start that was recorded later than this before its time runs out is not worth sending.
-constexpr Duration kLeastStartTime = std::chrono::milliseconds(500);
+/// A start that is stored with less time than this before it expires is withdrawn.
+constexpr Duration kMinStartTime = std::chrono::milliseconds(500);
 
 }  // namespace
 
@@ -43,7 +43,7 @@
   this->RestoreProgress(id, *progress);
   SchedulerState& state = this->impl->state;
   JobState* job = state.FindJob(id);
-  // Versions that read rows only may return once all entries have stored rows.
+  // An older version that reads rows only can be deployed again once all entries have stored rows.
   if (job != nullptr && state.options.progress_form == ProgressForm::kRows &&
       IsCompactProgress(text)) {
     state.Tell({"progress_rewritten", {}, id, "", "was stored in the compact form"});
@@ -54,20 +54,20 @@
 
 bool Scheduler::HasBatch() const {
   const Impl& self = *this->impl;
-  if (self.is_batch_out) {
+  if (self.is_batch_outstanding) {
     return false;
   }
-  return !self.state.dirty.empty() || !self.forgotten.empty() || !self.maybe_ended.empty() ||
+  return !self.state.dirty.empty() || !self.forgotten.empty() || !self.end_candidates.empty() ||
          self.state.has_new_ends || !self.state.lapse_changes.empty();
 }
 
 Batch Scheduler::TakeBatch() {
   Impl& self = *this->impl;
-  CHERVILSPAR_ASSERT(!self.is_batch_out);
-  self.is_batch_out = true;
+  CHERVILSPAR_ASSERT(!self.is_batch_outstanding);
+  self.is_batch_outstanding = true;
   for (const JobId& id : self.state.dirty) {
     if (JobState* job = self.state.FindJob(id); job != nullptr && job->IsOver()) {
-      self.maybe_ended.push_back(id);
+      self.end_candidates.push_back(id);
     }
   }
   self.EndJobs(self.state.wall_ms);
@@ -120,26 +120,27 @@
   return is_recorded ? ref : TaskRef{};
 }
 
-/// Before any of the starts is sent: with one member of a gang all others are withdrawn.
-void Scheduler::Impl::WithdrawUnwanted(TimePoint now) {
+/// Runs before any of the starts is sent, as the withdrawal of one member of a gang withdraws all
+/// others.
+void Scheduler::Impl::WithdrawObsoleteStarts(TimePoint now) {
   for (const auto& [key, run] : this->recorded_starts) {
     const TaskRef ref = this->FindRecorded(key, run);
     if (!ref) {
       continue;
     }
     const EndpointState& endpoint = *ref.task->endpoint;
-    const bool is_in_time = now + kLeastStartTime < ref.task->start_expires;
+    const bool is_on_time = now + kMinStartTime < ref.task->start_expires;
     const bool is_wanted = endpoint.is_registered && !endpoint.record.is_draining &&
                            !endpoint.is_evacuating && !endpoint.is_cordoned && endpoint.clock_ms;
-    if (is_in_time && is_wanted) {
+    if (is_on_time && is_wanted) {
       continue;
     }
-    this->state.Tell(
-        {"start_withdrawn",
-         key,
-         {},
-         endpoint.record.id,
-         is_in_time ? "its endpoint gets no more work" : "it was stored too late for its lease"});
+    this->state.Tell({"start_withdrawn",
+                      key,
+                      {},
+                      endpoint.record.id,
+                      is_on_time ? "its endpoint accepts no more tasks"
+                                 : "it was stored too late for its lease"});
     this->state.Release(ref);
     this->state.BreakGang(ref, now);
   }
@@ -147,8 +148,8 @@
 
 Orders Scheduler::ConfirmBatch(TimePoint now) {
   Impl& self = *this->impl;
-  CHERVILSPAR_ASSERT(self.is_batch_out);
-  self.is_batch_out = false;
+  CHERVILSPAR_ASSERT(self.is_batch_outstanding);
+  self.is_batch_outstanding = false;
   Orders orders;
   for (const auto& [id, phase] : self.recorded_phases) {
     if (JobState* job = self.state.FindJob(id)) {
@@ -167,14 +168,14 @@
   for (const std::string& id : self.recorded_lapse_drops) {
     EndpointState* endpoint = self.state.FindEndpoint(id);
     const auto change = self.state.lapse_changes.find(id);
-    const bool is_noticed_anew = change != self.state.lapse_changes.end() && change->second;
-    if (endpoint != nullptr && !is_noticed_anew) {
+    const bool has_new_notice = change != self.state.lapse_changes.end() && change->second;
+    if (endpoint != nullptr && !has_new_notice) {
       endpoint->has_lapse_notice = false;
       self.state.lapse_changes.erase(id);
     }
   }
   self.recorded_lapse_drops.clear();
-  self.WithdrawUnwanted(now);
+  self.WithdrawObsoleteStarts(now);
   OrderRound round(self.state, now);
   for (const auto& [key, run] : self.recorded_starts) {
     const TaskRef ref = self.FindRecorded(key, run);
@@ -200,14 +201,14 @@
   return ended;
 }
 
-std::vector<JobId> Scheduler::ExpiredJobs(WallTime wall, std::size_t most) const {
+std::vector<JobId> Scheduler::ExpiredJobs(WallTime wall, std::size_t max_count) const {
   const SchedulerState& state = this->impl->state;
-  const auto keep =
+  const auto retention_ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(state.options.ended_job_retention)
           .count();
   std::vector<JobId> expired;
   for (const auto& [ended_ms, id] : state.ended) {
-    if (ended_ms + keep > ToUnixMs(wall) || expired.size() >= most) {
+    if (ended_ms + retention_ms > ToUnixMs(wall) || expired.size() >= max_count) {
       break;
     }
     expired.push_back(id);
--- a/src/jobs/scheduler_views.cc
+++ b/src/jobs/scheduler_views.cc
@@ -6,12 +6,14 @@
 
 namespace {
 
-/// Milliseconds for which a count of the jobs that wait is told again; callers bear two seconds.
-constexpr std::int64_t kCountAgain = 400;
-/// Of an estimate, what is left of a running task on average.
-constexpr double kLeftOfRunning = 0.5;
+/// How long a count of the waiting jobs is reused. Callers tolerate counts that are two seconds
+/// old.
+constexpr std::int64_t kCountLifetimeMs = 400;
+/// The average share of its estimate that a running task still needs.
+constexpr double kRemainingShareOfRunning = 0.5;
 
-/// For each step, the longest chain of estimates from its beginning to the end of the job.
+/// For each step, the longest chain of estimates from its start to the end of the job, in
+/// milliseconds.
 std::vector<std::int64_t> ChainsFrom(const Job& job) {
   std::vector<std::int64_t> chains(job.steps.size(), 0);
   for (std::size_t i = chains.size(); i-- > 0;) {
@@ -23,16 +25,16 @@
   return chains;
 }
 
-/// Tasks of one step.
+/// Numbers of tasks of one step.
 struct StepCount {
   double waiting = 0;
   /// With a claim on an endpoint.
   double claimed = 0;
-  /// Of `claimed`, the ones whose endpoint has not shown their run.
+  /// Of `claimed`, those whose run no endpoint has confirmed.
   double unconfirmed = 0;
 };
 
-/// It is to run on there, and takes no room of the endpoints that get work.
+/// Such a task continues there, and uses no capacity of the endpoints that accept tasks.
 bool IsInCordonedZone(const Task& task) {
   return task.endpoint != nullptr && task.endpoint->is_cordoned;
 }
@@ -55,20 +57,21 @@
   return count;
 }
 
-/// Adds what is left of one step to the load of its pool. `amount`: what one task takes.
+/// Adds the remaining work of one step to the load of its pool. `amount` is the need of one task.
 void AddStep(const StepCount& count, bool is_open, bool is_late, double amount, double estimate_ms,
              double slack_ms, ResourceLoad& load) {
   if (count.waiting > 0) {
     load.waiting.push_back({slack_ms, count.waiting * amount * estimate_ms});
   }
-  const double left = count.unconfirmed + (count.claimed - count.unconfirmed) * kLeftOfRunning;
-  const double running = left * amount * estimate_ms;
+  const double remaining =
+      count.unconfirmed + (count.claimed - count.unconfirmed) * kRemainingShareOfRunning;
+  const double running = remaining * amount * estimate_ms;
   load.running += running;
   load.running_late += is_late ? running : 0;
   load.at_once += (count.claimed + (is_open ? count.waiting : 0)) * amount;
 }
 
-/// Some task of it has had a claim on an endpoint.
+/// True if some task of the job has had a claim on an endpoint.
 bool WasPlaced(const JobState& job) {
   const auto was_placed = [](const Task& task) { return task.progress.run > 0; };
   for (const auto& [number, occurrence] : job.occurrences) {
@@ -149,8 +152,8 @@
         const Step& spec = job->job.steps[i];
         const StepState& step = occurrence.steps[i];
         if (spec.max_per_endpoint > 0 && !step.IsDone()) {
-          const std::uint32_t most = spec.max_per_endpoint;
-          const std::uint32_t endpoints = (spec.count + most - 1) / most;
+          const std::uint32_t limit = spec.max_per_endpoint;
+          const std::uint32_t endpoints = (spec.count + limit - 1) / limit;
           load.least_endpoints = std::max(load.least_endpoints, static_cast<int>(endpoints));
         }
         if (!spec.is_long_running) {
@@ -220,27 +223,27 @@
 std::uint64_t Scheduler::PendingIn(const std::string& queue) const {
   PendingCount& pending = this->impl->pending;
   const std::int64_t now_ms = this->impl->state.wall_ms;
-  // The time of day may step back.
+  // The system clock may step back.
   const bool is_fresh = pending.counted_ms && now_ms >= *pending.counted_ms &&
-                        now_ms - *pending.counted_ms < kCountAgain;
+                        now_ms - *pending.counted_ms < kCountLifetimeMs;
   if (!is_fresh) {
     pending = this->impl->CountPending();
   }
   const WaitingJobs& waiting = pending.queues[queue];
-  if (pending.told.insert(queue).second) {
+  if (pending.logged_queues.insert(queue).second) {
     this->impl->state.Tell({"waiting_jobs_told",
                             {},
                             {},
                             "",
                             queue + ": " + std::to_string(waiting.jobs) + ", of these " +
                                 std::to_string(waiting.claimed) + " with a claim, " +
-                                std::to_string(waiting.returned) + " whose claims were given up"});
+                                std::to_string(waiting.released) + " whose claims were released"});
   }
   return waiting.jobs;
 }
 
 PendingCount Scheduler::Impl::CountPending() const {
-  PendingCount count{.counted_ms = this->state.wall_ms, .queues = {}, .told = {}};
+  PendingCount count{.counted_ms = this->state.wall_ms, .queues = {}, .logged_queues = {}};
   for (const auto& [id, job] : this->state.jobs) {
     if (job->has_begun || job->IsOver()) {
       continue;
@@ -248,7 +251,7 @@
     WaitingJobs& waiting = count.queues[job->job.queue];
     ++waiting.jobs;
     waiting.claimed += job->claims > 0 ? 1 : 0;
-    waiting.returned += job->claims == 0 && WasPlaced(*job) ? 1 : 0;
+    waiting.released += job->claims == 0 && WasPlaced(*job) ? 1 : 0;
   }
   return count;
 }
@@ -269,9 +272,9 @@
 }
 
 std::vector<DecisionEvent> Scheduler::TakeEvents() {
-  std::vector<DecisionEvent> notes = std::move(this->impl->state.notes);
+  std::vector<DecisionEvent> events = std::move(this->impl->state.notes);
   this->impl->state.notes.clear();
-  return notes;
+  return events;
 }
 
 }  // namespace chervilspar::jobs
--- a/tests/jobs/gang_test.cc
+++ b/tests/jobs/gang_test.cc
@@ -9,18 +9,18 @@
 namespace {
 
 using std::chrono::milliseconds;
-using World = SchedulerHarness;
+using Harness = SchedulerHarness;
 
 /// Endpoints end a member that has waited this long for the others.
-constexpr Duration kMembersWait = std::chrono::seconds(3);
-/// Between two renewals of the member that is at work.
-constexpr Duration kRenewal = milliseconds(100);
+constexpr Duration kMemberTimeout = std::chrono::seconds(3);
+/// Interval of the renewals of the active member.
+constexpr Duration kRenewalInterval = milliseconds(100);
 
 /// A gang of two, each of which fills an endpoint.
 Job MakeGang() {
-  Step step = World::MakeStep(2, 8000);
+  Step step = Harness::MakeStep(2, 8000);
   step.is_gang = true;
-  return World::MakeJob(1, {step});
+  return Harness::MakeJob(1, {step});
 }
 
 const StartOrder& At(const std::vector<StartOrder>& starts, const std::string& endpoint) {
@@ -28,40 +28,42 @@
                        [&](const StartOrder& start) { return start.endpoint == endpoint; });
 }
 
-/// What becomes of the member at "b" while the one at "a" is at work.
+/// What happens to the member at "b" while the one at "a" is active.
 struct MemberCase {
   const char* name;
-  /// Is called with each renewal; `start`: the member's.
-  std::function<void(World&, const StartOrder&)> happen;
-  /// Until the member's claim is given up.
-  Duration settled;
+  /// Called with each renewal, with the start of the member at "b".
+  std::function<void(Harness&, const StartOrder&)> happen;
+  /// The duration after which the claim of the member has been released.
+  Duration released_after;
 };
 
-void Answer(World& world, const StartOrder& start, OrderOutcome outcome) {
-  world.scheduler.OnStartAnswered(start, outcome, world.now);
+void Answer(Harness& harness, const StartOrder& start, OrderOutcome outcome) {
+  harness.scheduler.OnStartAnswered(start, outcome, harness.now);
 }
 
-void Confirm(World& world, const StartOrder& start) { Answer(world, start, OrderOutcome::kDone); }
+void Confirm(Harness& harness, const StartOrder& start) {
+  Answer(harness, start, OrderOutcome::kDone);
+}
 
-/// Guards against members that wait for one that was ordered and never came, until their endpoints
-/// end them as left alone.
+/// Guards against members that wait for one that was ordered but never started, until their
+/// endpoints end them for lack of the others.
 class GangWithoutAMember : public ::testing::TestWithParam<MemberCase> {};
 
 TEST_P(GangWithoutAMember, IsStopped) {
-  World world;
-  world.Register({World::Endpoint("a"), World::Endpoint("b")});
-  world.scheduler.AddJob(MakeGang(), WallTime{});
-  const std::vector<StartOrder> starts = world.Round().starts;
+  Harness harness;
+  harness.Register({Harness::Endpoint("a"), Harness::Endpoint("b")});
+  harness.scheduler.AddJob(MakeGang(), WallTime{});
+  const std::vector<StartOrder> starts = harness.Round().starts;
   ASSERT_EQ(starts.size(), 2U);
-  Confirm(world, At(starts, "a"));
+  Confirm(harness, At(starts, "a"));
   bool is_stopped = false;
-  const TimePoint end = world.now + GetParam().settled;
-  while (world.now < end && !is_stopped) {
-    world.scheduler.SetProof(world.now);
-    GetParam().happen(world, At(starts, "b"));
-    world.AdvanceTime(kRenewal);
-    world.AnswerRenewal("a", {World::Active(At(starts, "a"))}, {});
-    const Orders orders = world.Round();
+  const TimePoint end = harness.now + GetParam().released_after;
+  while (harness.now < end && !is_stopped) {
+    harness.scheduler.SetProof(harness.now);
+    GetParam().happen(harness, At(starts, "b"));
+    harness.AdvanceTime(kRenewalInterval);
+    harness.AnswerRenewal("a", {Harness::Active(At(starts, "a"))}, {});
+    const Orders orders = harness.Round();
     is_stopped = std::any_of(orders.stops.begin(), orders.stops.end(),
                              [](const StopOrder& stop) { return stop.endpoint == "a"; });
   }
@@ -71,119 +73,118 @@
 INSTANTIATE_TEST_SUITE_P(
     Members, GangWithoutAMember,
     ::testing::Values(MemberCase{"refused",
-                                 [](World& world, const StartOrder& start) {
-                                   Answer(world, start, OrderOutcome::kNoRoom);
+                                 [](Harness& harness, const StartOrder& start) {
+                                   Answer(harness, start, OrderOutcome::kNoRoom);
                                  },
-                                 kMembersWait},
+                                 kMemberTimeout},
                       MemberCase{"never_answered",
-                                 [](World& world, const StartOrder& start) {
-                                   Answer(world, start, OrderOutcome::kNoAnswer);
+                                 [](Harness& harness, const StartOrder& start) {
+                                   Answer(harness, start, OrderOutcome::kNoAnswer);
                                  },
-                                 kMembersWait},
+                                 kMemberTimeout},
                       MemberCase{"refused_after_a_lost_answer",
-                                 [](World& world, const StartOrder& start) {
-                                   Answer(world, start, OrderOutcome::kNoAnswer);
-                                   world.AdvanceTime(SchedulerOptions{}.start_retry);
-                                   world.Round();
-                                   Answer(world, start, OrderOutcome::kNoRoom);
+                                 [](Harness& harness, const StartOrder& start) {
+                                   Answer(harness, start, OrderOutcome::kNoAnswer);
+                                   harness.AdvanceTime(SchedulerOptions{}.start_retry);
+                                   harness.Round();
+                                   Answer(harness, start, OrderOutcome::kNoRoom);
                                  },
-                                 kMembersWait},
+                                 kMemberTimeout},
                       MemberCase{"confirmed_and_not_listed",
-                                 [](World& world, const StartOrder& start) {
-                                   Confirm(world, start);
-                                   world.AdvanceTime(kRenewal);
-                                   world.AnswerRenewal("b", {}, {});
+                                 [](Harness& harness, const StartOrder& start) {
+                                   Confirm(harness, start);
+                                   harness.AdvanceTime(kRenewalInterval);
+                                   harness.AnswerRenewal("b", {}, {});
                                  },
-                                 kMembersWait},
-                      MemberCase{"its_endpoint_started_anew",
-                                 [](World& world, const StartOrder& start) {
-                                   Confirm(world, start);
-                                   world.AnswerRenewal("b", {}, {}, 2);
+                                 kMemberTimeout},
+                      MemberCase{"its_endpoint_restarted",
+                                 [](Harness& harness, const StartOrder& start) {
+                                   Confirm(harness, start);
+                                   harness.AnswerRenewal("b", {}, {}, 2);
                                  },
-                                 kMembersWait},
+                                 kMemberTimeout},
                       MemberCase{"another_endpoint_at_its_address",
-                                 [](World& world, const StartOrder& start) {
-                                   Answer(world, start, OrderOutcome::kOtherLife);
+                                 [](Harness& harness, const StartOrder& start) {
+                                   Answer(harness, start, OrderOutcome::kOtherLife);
                                  },
-                                 kMembersWait},
+                                 kMemberTimeout},
                       MemberCase{"lease_lapsed",
-                                 [](World& world, const StartOrder& start) {
-                                   Confirm(world, start);
-                                   world.scheduler.OnRenewalFailed("b", OrderOutcome::kNoAnswer,
-                                                                   world.now);
+                                 [](Harness& harness, const StartOrder& start) {
+                                   Confirm(harness, start);
+                                   harness.scheduler.OnRenewalFailed("b", OrderOutcome::kNoAnswer,
+                                                                     harness.now);
                                  },
                                  SchedulerOptions{}.LongestLease() + std::chrono::seconds(1)}),
     [](const auto& info) { return info.param.name; });
 
-/// Guards against a successor that keeps members whose gang its predecessor didn't bring together.
-TEST(Gang, ASuccessorStopsMembersOfOneThatNeverCame) {
-  World before;
-  before.Register({World::Endpoint("a"), World::Endpoint("b")});
+/// Guards against a successor that keeps members of a gang that its predecessor never started
+/// completely.
+TEST(Gang, ASuccessorStopsMembersOfAnIncompleteGang) {
+  Harness before;
+  before.Register({Harness::Endpoint("a"), Harness::Endpoint("b")});
   before.scheduler.AddJob(MakeGang(), WallTime{});
   const std::vector<StartOrder> starts = before.Round().starts;
   ASSERT_EQ(starts.size(), 2U);
-  World after{{}, 2};
+  Harness after{{}, 2};
   after.scheduler.SetEndpoints(before.endpoints, after.now);
   after.scheduler.AddJob(MakeGang(), WallTime{});
   after.scheduler.RestoreProgress(JobId{1}, *DecodeProgress(before.stored.at(JobId{1})));
-  after.AnswerRenewal("a", {World::Active(At(starts, "a"))}, {});
+  after.AnswerRenewal("a", {Harness::Active(At(starts, "a"))}, {});
   after.AnswerRenewal("b", {}, {});
   const Orders orders = after.Round();
   ASSERT_EQ(orders.stops.size(), 1U);
   EXPECT_EQ(orders.stops[0].endpoint, "a");
 }
 
-/// What happens to one endpoint while a gang's placement is being stored.
+/// What happens to one endpoint while the placement of a gang is being stored.
 struct WithdrawalCase {
   const char* name;
-  std::function<void(World&, const std::string&)> happen;
+  std::function<void(Harness&, const std::string&)> happen;
 };
 
-/// Guards against starting the rest of a gang of which one member's start is withdrawn.
+/// Guards against starting the rest of a gang after the start of one member is withdrawn.
 class GangBeingStored : public ::testing::TestWithParam<WithdrawalCase> {};
 
 TEST_P(GangBeingStored, StartsTogetherOrNotAtAll) {
   for (const char* endpoint : {"a", "b"}) {
-    World world;
-    world.Register({World::Endpoint("a"), World::Endpoint("b")});
-    world.scheduler.AddJob(MakeGang(), WallTime{});
-    world.Decide();
-    ASSERT_FALSE(world.scheduler.TakeBatch().IsEmpty());
-    GetParam().happen(world, endpoint);
-    EXPECT_TRUE(world.scheduler.ConfirmBatch(world.now).starts.empty()) << endpoint;
+    Harness harness;
+    harness.Register({Harness::Endpoint("a"), Harness::Endpoint("b")});
+    harness.scheduler.AddJob(MakeGang(), WallTime{});
+    harness.Decide();
+    ASSERT_FALSE(harness.scheduler.TakeBatch().IsEmpty());
+    GetParam().happen(harness, endpoint);
+    EXPECT_TRUE(harness.scheduler.ConfirmBatch(harness.now).starts.empty()) << endpoint;
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Changes, GangBeingStored,
-    ::testing::Values(WithdrawalCase{"emptied",
-                                     [](World& world, const std::string& id) {
-                                       world.scheduler.BeginEvacuation(id);
-                                     }},
-                      WithdrawalCase{"draining",
-                                     [](World& world, const std::string& id) {
-                                       for (EndpointRecord& record : world.endpoints) {
-                                         record.is_draining = record.id == id;
-                                       }
-                                       world.scheduler.SetEndpoints(world.endpoints, world.now);
-                                     }},
-                      WithdrawalCase{"unregistered",
-                                     [](World& world, const std::string& id) {
-                                       std::erase_if(world.endpoints,
-                                                     [&](const EndpointRecord& record) {
-                                                       return record.id == id;
-                                                     });
-                                       world.scheduler.SetEndpoints(world.endpoints, world.now);
-                                     }},
-                      WithdrawalCase{"another_endpoint_at_its_address",
-                                     [](World& world, const std::string& id) {
-                                       world.scheduler.OnRenewalFailed(id, OrderOutcome::kOtherLife,
-                                                                       world.now);
-                                     }},
-                      WithdrawalCase{"started_anew",
-                                     [](World& world, const std::string& id) {
-                                       world.AnswerRenewal(id, {}, {}, 2);
-                                     }}),
+    ::testing::Values(
+        WithdrawalCase{
+            "evacuating",
+            [](Harness& harness, const std::string& id) { harness.scheduler.BeginEvacuation(id); }},
+        WithdrawalCase{"draining",
+                       [](Harness& harness, const std::string& id) {
+                         for (EndpointRecord& record : harness.endpoints) {
+                           record.is_draining = record.id == id;
+                         }
+                         harness.scheduler.SetEndpoints(harness.endpoints, harness.now);
+                       }},
+        WithdrawalCase{"unregistered",
+                       [](Harness& harness, const std::string& id) {
+                         std::erase_if(harness.endpoints, [&](const EndpointRecord& record) {
+                           return record.id == id;
+                         });
+                         harness.scheduler.SetEndpoints(harness.endpoints, harness.now);
+                       }},
+        WithdrawalCase{"another_endpoint_at_its_address",
+                       [](Harness& harness, const std::string& id) {
+                         harness.scheduler.OnRenewalFailed(id, OrderOutcome::kOtherLife,
+                                                           harness.now);
+                       }},
+        WithdrawalCase{
+            "restarted",
+            [](Harness& harness, const std::string& id) { harness.AnswerRenewal(id, {}, {}, 2); }}),
     [](const auto& info) { return info.param.name; });
 
 }  // namespace
--- a/tests/jobs/scheduler_harness.h
+++ b/tests/jobs/scheduler_harness.h
@@ -8,8 +8,8 @@
 
 namespace chervilspar::jobs {
 
-/// Drives a scheduler by hand: time, endpoints that answer as they are told, and a store that
-/// confirms when it is told.
+/// Drives a scheduler step by step, with a manual clock, scripted endpoints and a store that
+/// confirms on demand.
 class SchedulerHarness {
  public:
   explicit SchedulerHarness(SchedulerOptions options = {}, std::uint64_t token = 1)
@@ -69,9 +69,9 @@
     }
   }
 
-  void AdvanceTime(Duration span) { this->now += span; }
+  void AdvanceTime(Duration duration) { this->now += duration; }
 
-  /// The endpoint answers a renewal that is sent now.
+  /// Sends a renewal to the endpoint, which answers 1 ms later.
   void AnswerRenewal(const std::string& id, std::vector<ActiveRun> active,
                      std::vector<EndedRun> ended, std::int64_t born_ms = 1) {
     const RenewalPlan plan = this->scheduler.PlanRenewal(id, this->now);
@@ -81,13 +81,13 @@
         std::chrono::duration_cast<std::chrono::milliseconds>(this->now.time_since_epoch()).count();
     report.active = std::move(active);
     report.ended = std::move(ended);
-    this->last_hold = plan.order;
+    this->last_renewal = plan.order;
     const TimePoint sent = this->now;
     this->AdvanceTime(std::chrono::milliseconds(1));
     this->scheduler.OnRenewalAnswered(plan.order, report, sent, this->now);
   }
 
-  /// Decides, stores, and gives all orders that came of it.
+  /// Decides and stores, and returns all resulting orders.
   Orders Round() {
     Orders orders = this->Decide();
     Orders confirmed = this->Store();
@@ -118,7 +118,7 @@
     return this->scheduler.ConfirmBatch(this->now);
   }
 
-  /// A round whose starts are all carried out.
+  /// Runs a round and confirms all its starts.
   std::vector<StartOrder> StartAll() {
     std::vector<StartOrder> starts = this->Round().starts;
     for (const StartOrder& start : starts) {
@@ -150,7 +150,7 @@
   std::map<JobId, std::string> stored;
   /// Lapse notices by endpoint.
   std::map<std::string, std::string> lapses;
-  HoldOrder last_hold;
+  HoldOrder last_renewal;
 };
 
 }  // namespace chervilspar::jobs
--- a/tests/jobs/scheduler_test.cc
+++ b/tests/jobs/scheduler_test.cc
@@ -9,12 +9,12 @@
 namespace {
 
 using std::chrono::milliseconds;
-using World = SchedulerHarness;
+using Harness = SchedulerHarness;
 
-WallTime Wall(const World& world) { return WallTime(world.now.time_since_epoch()); }
+WallTime Wall(const Harness& harness) { return WallTime(harness.now.time_since_epoch()); }
 
-/// Who may run where, as a table: the step, and how many of its tasks start on two endpoints of 8
-/// cores, "a" in rack r-a and "b" in rack r-b.
+/// A change of a step, and how many of its tasks start on two endpoints of 8 cores: "a" in rack r-a
+/// and "b" in rack r-b.
 struct PlacementCase {
   const char* name;
   std::function<void(Step&)> change;
@@ -25,13 +25,13 @@
 class PlacementTable : public ::testing::TestWithParam<PlacementCase> {};
 
 TEST_P(PlacementTable, StartsOnlyWhereAllowed) {
-  World world;
-  world.Register({World::Endpoint("a"), World::Endpoint("b")});
-  Step step = World::MakeStep(4, 2000);
+  Harness harness;
+  harness.Register({Harness::Endpoint("a"), Harness::Endpoint("b")});
+  Step step = Harness::MakeStep(4, 2000);
   GetParam().change(step);
-  world.scheduler.AddJob(World::MakeJob(1, {step}), Wall(world));
+  harness.scheduler.AddJob(Harness::MakeJob(1, {step}), Wall(harness));
   std::set<std::string> where;
-  const std::vector<StartOrder> starts = world.StartAll();
+  const std::vector<StartOrder> starts = harness.StartAll();
   for (const StartOrder& start : starts) {
     where.insert(start.endpoint);
   }
@@ -47,10 +47,10 @@
         PlacementCase{"too_large", [](Step& step) { step.need.cpu = 9000; }, 0, {}},
         PlacementCase{"memory", [](Step& step) { step.need.memory_mb = 40000; }, 2, {"a", "b"}},
         PlacementCase{"no_gpu", [](Step& step) { step.need.gpus = 1; }, 0, {}},
-        PlacementCase{"apart", [](Step& step) { step.max_per_endpoint = 1; }, 2, {"a", "b"}},
+        PlacementCase{"spread", [](Step& step) { step.max_per_endpoint = 1; }, 2, {"a", "b"}},
         PlacementCase{"label", [](Step& step) { step.required_label = "r-b"; }, 4, {"b"}},
         PlacementCase{"unknown_label", [](Step& step) { step.required_label = "x"; }, 0, {}},
-        PlacementCase{"near_its_data", [](Step& step) { step.data_rack = "r-b"; }, 4, {"b"}},
+        PlacementCase{"close_to_its_data", [](Step& step) { step.data_rack = "r-b"; }, 4, {"b"}},
         PlacementCase{"filler_takes_no_cpu",
                       [](Step& step) {
                         step.need.cpu = 9000;
@@ -75,279 +75,279 @@
                       {"a"}}),
     [](const auto& info) { return info.param.name; });
 
-/// Steps wait for those that they name.
+/// Steps wait for the steps that they depend on.
 TEST(Scheduler, AStepStartsAfterItsPredecessorsHaveEnded) {
-  World world;
-  world.Register({World::Endpoint("a")});
-  Step second = World::MakeStep(1);
+  Harness harness;
+  harness.Register({Harness::Endpoint("a")});
+  Step second = Harness::MakeStep(1);
   second.after = {0};
-  world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(2), second}), Wall(world));
-  const std::vector<StartOrder> first = world.StartAll();
+  harness.scheduler.AddJob(Harness::MakeJob(1, {Harness::MakeStep(2), second}), Wall(harness));
+  const std::vector<StartOrder> first = harness.StartAll();
   ASSERT_EQ(first.size(), 2U);
-  world.AnswerRenewal("a", {World::Active(first[1])}, {World::Ended(1, first[0], RunEnd::kDone)});
-  EXPECT_TRUE(world.StartAll().empty());
-  world.AnswerRenewal("a", {}, {World::Ended(2, first[1], RunEnd::kDone)});
-  const std::vector<StartOrder> next = world.StartAll();
+  harness.AnswerRenewal("a", {Harness::Active(first[1])},
+                        {Harness::Ended(1, first[0], RunEnd::kDone)});
+  EXPECT_TRUE(harness.StartAll().empty());
+  harness.AnswerRenewal("a", {}, {Harness::Ended(2, first[1], RunEnd::kDone)});
+  const std::vector<StartOrder> next = harness.StartAll();
   ASSERT_EQ(next.size(), 1U);
   EXPECT_EQ(next[0].task.step, 1U);
 }
 
-/// A member of a gang fails while the others wait for it: they can't go on without it, and the
-/// gang starts again together.
-TEST(Scheduler, ABrokenGangStartsAgainTogether) {
-  World world;
-  world.Register({World::Endpoint("a")});
-  Step step = World::MakeStep(2);
+/// A member of a gang ends while the others wait for it. They can't continue without it, and the
+/// whole gang restarts.
+TEST(Scheduler, ABrokenGangRestartsTogether) {
+  Harness harness;
+  harness.Register({Harness::Endpoint("a")});
+  Step step = Harness::MakeStep(2);
   step.is_gang = true;
-  world.scheduler.AddJob(World::MakeJob(1, {step}), Wall(world));
-  const std::vector<StartOrder> first = world.StartAll();
+  harness.scheduler.AddJob(Harness::MakeJob(1, {step}), Wall(harness));
+  const std::vector<StartOrder> first = harness.StartAll();
   ASSERT_EQ(first.size(), 2U);
   EXPECT_EQ(first[0].run, first[1].run);
-  world.AnswerRenewal("a", {World::Active(first[1])},
-                      {World::Ended(1, first[0], RunEnd::kStopped, "half")});
-  EXPECT_TRUE(world.StartAll().empty());
-  world.AnswerRenewal("a", {}, {World::Ended(2, first[1], RunEnd::kGangBroken)});
-  const std::vector<StartOrder> second = world.StartAll();
+  harness.AnswerRenewal("a", {Harness::Active(first[1])},
+                        {Harness::Ended(1, first[0], RunEnd::kStopped, "half")});
+  EXPECT_TRUE(harness.StartAll().empty());
+  harness.AnswerRenewal("a", {}, {Harness::Ended(2, first[1], RunEnd::kGangBroken)});
+  const std::vector<StartOrder> second = harness.StartAll();
   ASSERT_EQ(second.size(), 2U);
   EXPECT_EQ(second[0].run, second[1].run);
   EXPECT_EQ(second[0].checkpoint, "half");
   EXPECT_EQ(second[1].checkpoint, "half");
-  world.AnswerRenewal("a", {}, {World::Ended(3, second[0], RunEnd::kDone)});
-  world.Store();
-  EXPECT_EQ(world.PhaseOf(1), JobPhase::kComplete) << "one end stands for all";
+  harness.AnswerRenewal("a", {}, {Harness::Ended(3, second[0], RunEnd::kDone)});
+  harness.Store();
+  EXPECT_EQ(harness.PhaseOf(1), JobPhase::kComplete) << "the end of one member completes the gang";
 }
 
-/// Long-running work is started again however it ends, more often than a batch task may fail.
-TEST(Scheduler, LongRunningTasksAreAlwaysStartedAgain) {
-  World world;
-  world.Register({World::Endpoint("a"), World::Endpoint("b")});
-  Step step = World::MakeStep(1);
+/// A long-running task restarts after any end, even more often than a batch task may fail.
+TEST(Scheduler, LongRunningTasksAlwaysRestart) {
+  Harness harness;
+  harness.Register({Harness::Endpoint("a"), Harness::Endpoint("b")});
+  Step step = Harness::MakeStep(1);
   step.is_long_running = true;
-  world.scheduler.AddJob(World::MakeJob(1, {step}), Wall(world));
+  harness.scheduler.AddJob(Harness::MakeJob(1, {step}), Wall(harness));
   std::map<std::string, std::uint64_t> ends;
   for (const RunEnd end :
        {RunEnd::kFailed, RunEnd::kFailed, RunEnd::kFailed, RunEnd::kDone, RunEnd::kLeaseLapsed}) {
-    const std::vector<StartOrder> starts = world.StartAll();
+    const std::vector<StartOrder> starts = harness.StartAll();
     ASSERT_EQ(starts.size(), 1U) << ToString(end);
     const std::string where = starts[0].endpoint;
-    world.AnswerRenewal(where, {}, {World::Ended(++ends[where], starts[0], end)});
-    world.AdvanceTime(std::chrono::seconds(2));
+    harness.AnswerRenewal(where, {}, {Harness::Ended(++ends[where], starts[0], end)});
+    harness.AdvanceTime(std::chrono::seconds(2));
   }
-  EXPECT_EQ(world.PhaseOf(1), JobPhase::kRunning);
+  EXPECT_EQ(harness.PhaseOf(1), JobPhase::kRunning);
 }
 
-/// A scheduled job's occurrences start when they are due, and overlap.
+/// The occurrences of a scheduled job start when they are due, and may overlap.
 TEST(Scheduler, OccurrencesStartWhenDue) {
-  World world;
-  world.Register({World::Endpoint("a")});
-  Job job = World::MakeJob(1, {World::MakeStep(1)});
+  Harness harness;
+  harness.Register({Harness::Endpoint("a")});
+  Job job = Harness::MakeJob(1, {Harness::MakeStep(1)});
   job.repeats = 2;
   job.first_due_ms = 5000;
   job.interval_ms = 1000;
-  world.scheduler.AddJob(job, Wall(world));
-  EXPECT_TRUE(world.StartAll().empty());
-  world.now = TimePoint{} + milliseconds(5010);
-  const std::vector<StartOrder> first = world.StartAll();
+  harness.scheduler.AddJob(job, Wall(harness));
+  EXPECT_TRUE(harness.StartAll().empty());
+  harness.now = TimePoint{} + milliseconds(5010);
+  const std::vector<StartOrder> first = harness.StartAll();
   ASSERT_EQ(first.size(), 1U);
-  world.now = TimePoint{} + milliseconds(6010);
-  const std::vector<StartOrder> second = world.StartAll();
+  harness.now = TimePoint{} + milliseconds(6010);
+  const std::vector<StartOrder> second = harness.StartAll();
   ASSERT_EQ(second.size(), 1U);
   EXPECT_EQ(second[0].task.occurrence, 1U);
-  world.AnswerRenewal(
+  harness.AnswerRenewal(
       "a", {},
-      {World::Ended(1, first[0], RunEnd::kDone), World::Ended(2, second[0], RunEnd::kDone)});
-  world.Store();
-  EXPECT_EQ(world.PhaseOf(1), JobPhase::kComplete);
+      {Harness::Ended(1, first[0], RunEnd::kDone), Harness::Ended(2, second[0], RunEnd::kDone)});
+  harness.Store();
+  EXPECT_EQ(harness.PhaseOf(1), JobPhase::kComplete);
 }
 
-/// A queue of more than its pool holds: whoever comes first in time would be served late by then,
-/// and those that could still be on time would wait behind it.
-TEST(Scheduler, JobsThatCanBeOnTimeGoBeforeLateOnes) {
-  World world;
-  world.Register({World::Endpoint("a", 1)});
-  Job late = World::MakeJob(1, {World::MakeStep(1)});
+/// With a queue longer than its pool can serve, oldest first would place late jobs ahead of jobs
+/// that can still meet their deadlines.
+TEST(Scheduler, JobsThatCanMeetTheirDeadlineGoBeforeLateOnes) {
+  Harness harness;
+  harness.Register({Harness::Endpoint("a", 1)});
+  Job late = Harness::MakeJob(1, {Harness::MakeStep(1)});
   late.taken_ms = 0;
-  world.now = TimePoint{} + std::chrono::seconds(30);
-  Job fresh = World::MakeJob(2, {World::MakeStep(1)});
-  fresh.taken_ms = 30000;
-  world.scheduler.AddJob(late, Wall(world));
-  world.scheduler.AddJob(fresh, Wall(world));
-  world.AnswerRenewal("a", {}, {});
-  const std::vector<StartOrder> starts = world.StartAll();
+  harness.now = TimePoint{} + std::chrono::seconds(30);
+  Job recent = Harness::MakeJob(2, {Harness::MakeStep(1)});
+  recent.taken_ms = 30000;
+  harness.scheduler.AddJob(late, Wall(harness));
+  harness.scheduler.AddJob(recent, Wall(harness));
+  harness.AnswerRenewal("a", {}, {});
+  const std::vector<StartOrder> starts = harness.StartAll();
   ASSERT_EQ(starts.size(), 1U);
   EXPECT_EQ(starts[0].task.job, JobId{2});
-  world.AnswerRenewal("a", {}, {World::Ended(1, starts[0], RunEnd::kDone)});
-  EXPECT_EQ(world.StartAll().at(0).task.job, JobId{1}) << "late ones fill what is left";
+  harness.AnswerRenewal("a", {}, {Harness::Ended(1, starts[0], RunEnd::kDone)});
+  EXPECT_EQ(harness.StartAll().at(0).task.job, JobId{1}) << "late jobs take the remaining capacity";
 }
 
-/// A long-running job's tasks must stand apart, and its pool has lost an endpoint: one of them can
-/// run nowhere. Were it waited for, nobody else's late job would ever start again.
-TEST(Scheduler, ATaskThatCanRunNowhereHoldsUpNobody) {
-  World world;
-  world.now = TimePoint{} + std::chrono::seconds(30);
-  world.Register({World::Endpoint("a")});
-  Step apart = World::MakeStep(2);
-  apart.is_long_running = true;
-  apart.max_per_endpoint = 1;
-  world.scheduler.AddJob(World::MakeJob(1, {apart}), Wall(world));
-  EXPECT_EQ(world.StartAll().size(), 1U);
-  const PoolLoad load = world.scheduler.PoolLoads().at(ServiceId{"desk"});
+/// The tasks of a long-running job need an endpoint each, and the pool has one too few. Waiting for
+/// the task that can't run anywhere would block all late jobs forever.
+TEST(Scheduler, ATaskThatCanRunNowhereBlocksNoOther) {
+  Harness harness;
+  harness.now = TimePoint{} + std::chrono::seconds(30);
+  harness.Register({Harness::Endpoint("a")});
+  Step spread = Harness::MakeStep(2);
+  spread.is_long_running = true;
+  spread.max_per_endpoint = 1;
+  harness.scheduler.AddJob(Harness::MakeJob(1, {spread}), Wall(harness));
+  EXPECT_EQ(harness.StartAll().size(), 1U);
+  const PoolLoad load = harness.scheduler.PoolLoads().at(ServiceId{"desk"});
   EXPECT_EQ(load.least_endpoints, 2);
   EXPECT_EQ(load.waiting_long_running, 1);
-  Job late = World::MakeJob(2, {World::MakeStep(1)});
+  Job late = Harness::MakeJob(2, {Harness::MakeStep(1)});
   late.taken_ms = 0;
-  world.scheduler.AddJob(late, Wall(world));
-  EXPECT_EQ(world.StartAll().size(), 1U);
+  harness.scheduler.AddJob(late, Wall(harness));
+  EXPECT_EQ(harness.StartAll().size(), 1U);
 }
 
-/// An endpoint fails all that it starts and so always has room. Without being passed over it would
-/// use up the attempts of every job.
-TEST(Scheduler, AnEndpointThatFailsJobAfterJobIsPassedOver) {
-  World world;
-  world.Register({World::Endpoint("a")});
+/// An endpoint that fails all its runs always has free capacity. Unless it is ejected, it uses up
+/// the attempts of every job.
+TEST(Scheduler, AnEndpointThatFailsSeveralJobsIsEjected) {
+  Harness harness;
+  harness.Register({Harness::Endpoint("a")});
   for (std::uint64_t i = 1; i <= 3; ++i) {
-    world.scheduler.AddJob(World::MakeJob(i, {World::MakeStep(1)}), Wall(world));
+    harness.scheduler.AddJob(Harness::MakeJob(i, {Harness::MakeStep(1)}), Wall(harness));
   }
-  const std::vector<StartOrder> starts = world.StartAll();
+  const std::vector<StartOrder> starts = harness.StartAll();
   ASSERT_EQ(starts.size(), 3U);
-  world.AnswerRenewal(
+  harness.AnswerRenewal(
       "a", {},
-      {World::Ended(1, starts[0], RunEnd::kFailed), World::Ended(2, starts[1], RunEnd::kFailed),
-       World::Ended(3, starts[2], RunEnd::kFailed)});
-  EXPECT_TRUE(world.StartAll().empty());
-  world.AdvanceTime(world.options.ejection + milliseconds(1));
-  world.AnswerRenewal("a", {}, {});
-  EXPECT_EQ(world.StartAll().size(), 3U);
+      {Harness::Ended(1, starts[0], RunEnd::kFailed), Harness::Ended(2, starts[1], RunEnd::kFailed),
+       Harness::Ended(3, starts[2], RunEnd::kFailed)});
+  EXPECT_TRUE(harness.StartAll().empty());
+  harness.AdvanceTime(harness.options.ejection + milliseconds(1));
+  harness.AnswerRenewal("a", {}, {});
+  EXPECT_EQ(harness.StartAll().size(), 3U);
 }
 
-/// Tasks on some endpoint stand still while the endpoint answers. Their callers would wait for
-/// ever.
-TEST(Scheduler, ARunThatStandsStillIsMoved) {
-  World world;
-  world.Register({World::Endpoint("a"), World::Endpoint("b")});
-  world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
-  const StartOrder start = world.StartAll().at(0);
-  world.AnswerRenewal(start.endpoint, {World::Active(start, 10)}, {});
-  world.AdvanceTime(world.options.stall_timeout + milliseconds(10));
-  world.AnswerRenewal(start.endpoint, {World::Active(start, 10)}, {});
-  const Orders orders = world.Round();
+/// A task stalls while its endpoint still answers. Its caller would wait forever.
+TEST(Scheduler, AStalledRunIsMoved) {
+  Harness harness;
+  harness.Register({Harness::Endpoint("a"), Harness::Endpoint("b")});
+  harness.scheduler.AddJob(Harness::MakeJob(1, {Harness::MakeStep(1)}), Wall(harness));
+  const StartOrder start = harness.StartAll().at(0);
+  harness.AnswerRenewal(start.endpoint, {Harness::Active(start, 10)}, {});
+  harness.AdvanceTime(harness.options.stall_timeout + milliseconds(10));
+  harness.AnswerRenewal(start.endpoint, {Harness::Active(start, 10)}, {});
+  const Orders orders = harness.Round();
   ASSERT_EQ(orders.stops.size(), 1U);
-  world.AnswerRenewal(start.endpoint, {}, {World::Ended(1, start, RunEnd::kStopped, "saved")});
-  const StartOrder again = world.StartAll().at(0);
+  harness.AnswerRenewal(start.endpoint, {}, {Harness::Ended(1, start, RunEnd::kStopped, "saved")});
+  const StartOrder again = harness.StartAll().at(0);
   EXPECT_NE(again.endpoint, start.endpoint);
   EXPECT_EQ(again.checkpoint, "saved");
 }
 
-/// VMs are emptied one after the other while a step may lack one task only. Ending a second one
-/// would leave its users without enough of them.
+/// Several VMs are evacuated while at most one task of a step may be unavailable. Ending a second
+/// task would leave the users of the step with too few.
 class EvacuationTest : public ::testing::Test {
  protected:
   EvacuationTest() {
-    // The last one is where a task can go.
-    this->world.Register(
-        {World::Endpoint("a"), World::Endpoint("b"), World::Endpoint("c"), World::Endpoint("d")});
-    Step step = World::MakeStep(3);
+    // One endpoint more than tasks, so that a task can move.
+    this->harness.Register({Harness::Endpoint("a"), Harness::Endpoint("b"), Harness::Endpoint("c"),
+                            Harness::Endpoint("d")});
+    Step step = Harness::MakeStep(3);
     step.is_long_running = true;
     step.max_per_endpoint = 1;
     step.max_unavailable = 1;
-    this->world.scheduler.AddJob(World::MakeJob(1, {step}), Wall(this->world));
-    for (const StartOrder& start : this->world.StartAll()) {
+    this->harness.scheduler.AddJob(Harness::MakeJob(1, {step}), Wall(this->harness));
+    for (const StartOrder& start : this->harness.StartAll()) {
       this->running[start.endpoint] = start;
     }
-    this->world.AdvanceTime(std::chrono::seconds(3));
-    this->HoldAll(100);
+    this->harness.AdvanceTime(std::chrono::seconds(3));
+    this->AnswerAllRenewals(100);
   }
 
-  void HoldAll(int percent) {
+  void AnswerAllRenewals(int percent) {
     for (const auto& [endpoint, start] : this->running) {
-      this->world.AnswerRenewal(endpoint, {World::Active(start, percent)}, {});
+      this->harness.AnswerRenewal(endpoint, {Harness::Active(start, percent)}, {});
     }
   }
 
-  World world;
+  Harness harness;
   std::map<std::string, StartOrder> running;
 };
 
 TEST_F(EvacuationTest, EndsOneTaskAtATime) {
-  this->world.scheduler.BeginEvacuation("a");
-  this->world.scheduler.BeginEvacuation("b");
-  EXPECT_EQ(this->world.Round().stops.size(), 1U);
+  this->harness.scheduler.BeginEvacuation("a");
+  this->harness.scheduler.BeginEvacuation("b");
+  EXPECT_EQ(this->harness.Round().stops.size(), 1U);
 }
 
-TEST_F(EvacuationTest, EndsNoneWhileASiblingsEndpointIsSilent) {
-  this->world.scheduler.OnRenewalFailed("c", OrderOutcome::kNoAnswer, this->world.now);
-  this->world.scheduler.BeginEvacuation("a");
-  EXPECT_TRUE(this->world.Round().stops.empty());
+TEST_F(EvacuationTest, EndsNoneWhileASiblingsEndpointIsUnresponsive) {
+  this->harness.scheduler.OnRenewalFailed("c", OrderOutcome::kNoAnswer, this->harness.now);
+  this->harness.scheduler.BeginEvacuation("a");
+  EXPECT_TRUE(this->harness.Round().stops.empty());
 }
 
-/// The endpoint that is emptied has just fallen silent itself: its own task may well be at work.
-TEST_F(EvacuationTest, TakesATaskWithoutNewsToBeAtWork) {
-  this->world.scheduler.BeginEvacuation("a");
-  this->world.scheduler.BeginEvacuation("b");
-  this->world.AdvanceTime(std::chrono::seconds(2));
-  EXPECT_TRUE(this->world.Round().stops.empty());
+/// Without recent answers from an endpoint that is being evacuated, its task may still be serving.
+TEST_F(EvacuationTest, AssumesATaskWithoutRecentReportsToBeServing) {
+  this->harness.scheduler.BeginEvacuation("a");
+  this->harness.scheduler.BeginEvacuation("b");
+  this->harness.AdvanceTime(std::chrono::seconds(2));
+  EXPECT_TRUE(this->harness.Round().stops.empty());
 }
 
 TEST_F(EvacuationTest, EndsNoneWhileASiblingIsStarting) {
-  this->HoldAll(100);
-  this->world.AnswerRenewal("c", {World::Active(this->running["c"], 20)}, {});
-  this->world.scheduler.BeginEvacuation("a");
-  EXPECT_TRUE(this->world.Round().stops.empty());
+  this->AnswerAllRenewals(100);
+  this->harness.AnswerRenewal("c", {Harness::Active(this->running["c"], 20)}, {});
+  this->harness.scheduler.BeginEvacuation("a");
+  EXPECT_TRUE(this->harness.Round().stops.empty());
 }
 
-/// Guards against a wave that waits for the next look to learn that a moved task is at work.
-TEST_F(EvacuationTest, LooksSoonerWhileATaskStarts) {
+/// Guards against a wave that waits a full renewal interval to learn that a moved task is serving.
+TEST_F(EvacuationTest, PollsSoonerWhileATaskStarts) {
   const SchedulerOptions options;
-  EXPECT_EQ(this->world.scheduler.PlanRenewal("a", this->world.now).order.wait,
+  EXPECT_EQ(this->harness.scheduler.PlanRenewal("a", this->harness.now).order.wait,
             options.renewal_wait);
-  this->HoldAll(40);
-  EXPECT_EQ(this->world.scheduler.PlanRenewal("a", this->world.now).order.wait,
+  this->AnswerAllRenewals(40);
+  EXPECT_EQ(this->harness.scheduler.PlanRenewal("a", this->harness.now).order.wait,
             options.startup_wait);
   EXPECT_LT(options.startup_wait, options.renewal_wait / 2);
 }
 
-/// Two tasks are starting again after their endpoint was lost, and one of them is on an endpoint
-/// that is to be emptied. It may have come to work since the last news, so that its end would leave
-/// two away.
-TEST_F(EvacuationTest, EndsNoneThatMayHaveComeToWorkSince) {
-  this->world.AnswerRenewal("a", {World::Active(this->running["a"], 20)}, {});
-  this->world.AnswerRenewal("b", {World::Active(this->running["b"], 20)}, {});
-  this->world.scheduler.BeginEvacuation("a");
-  EXPECT_TRUE(this->world.Round().stops.empty());
+/// Two tasks are restarting after the loss of their endpoint, and one of them is on an endpoint
+/// that is to be evacuated. It may be serving since the last report, so that ending it would leave
+/// two tasks unavailable.
+TEST_F(EvacuationTest, EndsNoneThatMayBeServingSinceTheLastReport) {
+  this->harness.AnswerRenewal("a", {Harness::Active(this->running["a"], 20)}, {});
+  this->harness.AnswerRenewal("b", {Harness::Active(this->running["b"], 20)}, {});
+  this->harness.scheduler.BeginEvacuation("a");
+  EXPECT_TRUE(this->harness.Round().stops.empty());
 }
 
-/// Guards against a wave that orders the VM for each task only when the task before it has moved:
-/// of two that leave, one moves to the only free place, and the other needs another VM.
-TEST_F(EvacuationTest, AsksAtOnceForAllPlacesThatAreMissing) {
-  this->world.scheduler.BeginEvacuation("a");
-  this->world.scheduler.BeginEvacuation("b");
-  this->world.scheduler.BeginEvacuation("c");
-  EXPECT_EQ(this->world.Round().stops.size(), 1U);
-  EXPECT_EQ(this->world.scheduler.PoolLoads().at(ServiceId{"desk"}).waiting_long_running, 2);
+/// Guards against a wave that orders a VM for each task only after the previous task has moved. Of
+/// three tasks that leave, one moves to the only free endpoint, and two need another VM.
+TEST_F(EvacuationTest, RequestsAllMissingEndpointsAtOnce) {
+  this->harness.scheduler.BeginEvacuation("a");
+  this->harness.scheduler.BeginEvacuation("b");
+  this->harness.scheduler.BeginEvacuation("c");
+  EXPECT_EQ(this->harness.Round().stops.size(), 1U);
+  EXPECT_EQ(this->harness.scheduler.PoolLoads().at(ServiceId{"desk"}).waiting_long_running, 2);
 }
 
-/// A predecessor may have ended a task just before: it still looks at work.
+/// A predecessor may have just ended a task that is still reported as serving.
 TEST(Evacuation, WaitsAfterATakeover) {
-  World world;
-  world.now = TimePoint{};
-  world.Register({World::Endpoint("a"), World::Endpoint("b")});
-  Step step = World::MakeStep(1);
+  Harness harness;
+  harness.now = TimePoint{};
+  harness.Register({Harness::Endpoint("a"), Harness::Endpoint("b")});
+  Step step = Harness::MakeStep(1);
   step.is_long_running = true;
-  world.scheduler.AddJob(World::MakeJob(1, {step}), WallTime{});
-  const StartOrder start = world.StartAll().at(0);
-  world.scheduler.BeginEvacuation(start.endpoint);
-  world.AnswerRenewal(start.endpoint, {World::Active(start, 100)}, {});
-  EXPECT_TRUE(world.Round().stops.empty());
-  world.AdvanceTime(std::chrono::seconds(3));
-  world.AnswerRenewal(
+  harness.scheduler.AddJob(Harness::MakeJob(1, {step}), WallTime{});
+  const StartOrder start = harness.StartAll().at(0);
+  harness.scheduler.BeginEvacuation(start.endpoint);
+  harness.AnswerRenewal(start.endpoint, {Harness::Active(start, 100)}, {});
+  EXPECT_TRUE(harness.Round().stops.empty());
+  harness.AdvanceTime(std::chrono::seconds(3));
+  harness.AnswerRenewal(
       "a",
-      start.endpoint == "a" ? std::vector{World::Active(start, 100)} : std::vector<ActiveRun>{},
+      start.endpoint == "a" ? std::vector{Harness::Active(start, 100)} : std::vector<ActiveRun>{},
       {});
-  world.AnswerRenewal(
+  harness.AnswerRenewal(
       "b",
-      start.endpoint == "b" ? std::vector{World::Active(start, 100)} : std::vector<ActiveRun>{},
+      start.endpoint == "b" ? std::vector{Harness::Active(start, 100)} : std::vector<ActiveRun>{},
       {});
-  EXPECT_EQ(world.Round().stops.size(), 1U);
+  EXPECT_EQ(harness.Round().stops.size(), 1U);
 }
 
 struct MoveCase {
@@ -360,26 +360,26 @@
 
 class LongRunningMoves : public ::testing::TestWithParam<MoveCase> {};
 
-/// A wave empties an endpoint while no other has room: ended all the same, the task that serves
-/// users is away until a VM has come, seconds later.
-TEST_P(LongRunningMoves, WaitForAPlaceElsewhere) {
-  World world;
-  std::vector<EndpointRecord> endpoints = {World::Endpoint("a")};
-  world.Register(endpoints);
-  Step step = World::MakeStep(1, 4000);
+/// A wave evacuates an endpoint while no other has free capacity. If the serving task were ended
+/// anyway, it would be unavailable for seconds until a VM is ready.
+TEST_P(LongRunningMoves, WaitForFreeCapacityElsewhere) {
+  Harness harness;
+  std::vector<EndpointRecord> endpoints = {Harness::Endpoint("a")};
+  harness.Register(endpoints);
+  Step step = Harness::MakeStep(1, 4000);
   step.is_long_running = true;
-  world.scheduler.AddJob(World::MakeJob(1, {step}), Wall(world));
-  const StartOrder start = world.StartAll().at(0);
-  world.AdvanceTime(std::chrono::seconds(3));
+  harness.scheduler.AddJob(Harness::MakeJob(1, {step}), Wall(harness));
+  const StartOrder start = harness.StartAll().at(0);
+  harness.AdvanceTime(std::chrono::seconds(3));
   if (GetParam().other_cores > 0) {
-    endpoints.push_back(World::Endpoint("b", GetParam().other_cores));
-    world.scheduler.SetEndpoints(endpoints, world.now);
-    world.AnswerRenewal("b", {}, {});
+    endpoints.push_back(Harness::Endpoint("b", GetParam().other_cores));
+    harness.scheduler.SetEndpoints(endpoints, harness.now);
+    harness.AnswerRenewal("b", {}, {});
   }
-  world.AnswerRenewal("a", {World::Active(start, 100)}, {});
-  world.scheduler.BeginEvacuation("a");
-  EXPECT_EQ(world.Round().stops.size(), GetParam().stops);
-  EXPECT_EQ(world.scheduler.PoolLoads().at(ServiceId{"desk"}).waiting_long_running,
+  harness.AnswerRenewal("a", {Harness::Active(start, 100)}, {});
+  harness.scheduler.BeginEvacuation("a");
+  EXPECT_EQ(harness.Round().stops.size(), GetParam().stops);
+  EXPECT_EQ(harness.scheduler.PoolLoads().at(ServiceId{"desk"}).waiting_long_running,
             GetParam().waiting);
 }
 
@@ -389,97 +389,99 @@
                                            MoveCase{"one", 4, 1, 0}),
                          [](const auto& info) { return info.param.name; });
 
-/// A task is on its way to an endpoint with just room enough, and a batch job takes that room
-/// before the first endpoint has told the task's end: the task finds no place any more.
-TEST(Evacuation, KeepsRoomForATaskOnItsWay) {
-  World world;
-  world.Register({World::Endpoint("a")});
-  Step serving = World::MakeStep(1, 6000);
+/// A task moves to an endpoint with just enough free capacity. A batch job must not take that
+/// capacity before the first endpoint has reported the end of the task.
+TEST(Evacuation, ReservesCapacityForAMovingTask) {
+  Harness harness;
+  harness.Register({Harness::Endpoint("a")});
+  Step serving = Harness::MakeStep(1, 6000);
   serving.is_long_running = true;
-  world.scheduler.AddJob(World::MakeJob(1, {serving}), Wall(world));
-  const StartOrder start = world.StartAll().at(0);
-  world.AdvanceTime(std::chrono::seconds(3));
-  world.scheduler.SetEndpoints({World::Endpoint("a"), World::Endpoint("b")}, world.now);
-  world.AnswerRenewal("b", {}, {});
-  world.AnswerRenewal("a", {World::Active(start, 100)}, {});
-  world.scheduler.BeginEvacuation("a");
-  ASSERT_EQ(world.Round().stops.size(), 1U);
-  world.scheduler.AddJob(World::MakeJob(2, {World::MakeStep(1, 6000)}), Wall(world));
-  EXPECT_TRUE(world.Round().starts.empty());
-  world.AnswerRenewal("a", {}, {World::Ended(1, start, RunEnd::kStopped)});
-  const std::vector<StartOrder> starts = world.Round().starts;
+  harness.scheduler.AddJob(Harness::MakeJob(1, {serving}), Wall(harness));
+  const StartOrder start = harness.StartAll().at(0);
+  harness.AdvanceTime(std::chrono::seconds(3));
+  harness.scheduler.SetEndpoints({Harness::Endpoint("a"), Harness::Endpoint("b")}, harness.now);
+  harness.AnswerRenewal("b", {}, {});
+  harness.AnswerRenewal("a", {Harness::Active(start, 100)}, {});
+  harness.scheduler.BeginEvacuation("a");
+  ASSERT_EQ(harness.Round().stops.size(), 1U);
+  harness.scheduler.AddJob(Harness::MakeJob(2, {Harness::MakeStep(1, 6000)}), Wall(harness));
+  EXPECT_TRUE(harness.Round().starts.empty());
+  harness.AnswerRenewal("a", {}, {Harness::Ended(1, start, RunEnd::kStopped)});
+  const std::vector<StartOrder> starts = harness.Round().starts;
   ASSERT_EQ(starts.size(), 1U);
   EXPECT_EQ(starts[0].task.job, JobId{1});
   EXPECT_EQ(starts[0].endpoint, "b");
 }
 
-/// A filler disturbs a serving task beside it: the response times near their target, and the
-/// filler is slowed down, then given its speed back.
-TEST(Pacing, SlowsFillersBesideATaskNearItsTarget) {
-  World world;
-  world.Register({World::Endpoint("a")});
-  Step serving = World::MakeStep(1);
+/// A filler slows down a serving task on its endpoint. As the response times approach their target,
+/// the filler is throttled, and later released again.
+TEST(Pacing, ThrottlesFillersBesideATaskNearItsTarget) {
+  Harness harness;
+  harness.Register({Harness::Endpoint("a")});
+  Step serving = Harness::MakeStep(1);
   serving.is_long_running = true;
   serving.target_ms = 100;
-  Step filler = World::MakeStep(1);
+  Step filler = Harness::MakeStep(1);
   filler.is_filler = true;
   filler.is_long_running = true;
-  world.scheduler.AddJob(World::MakeJob(1, {serving}), Wall(world));
-  world.scheduler.AddJob(World::MakeJob(2, {filler}), Wall(world));
-  const std::vector<StartOrder> starts = world.StartAll();
+  harness.scheduler.AddJob(Harness::MakeJob(1, {serving}), Wall(harness));
+  harness.scheduler.AddJob(Harness::MakeJob(2, {filler}), Wall(harness));
+  const std::vector<StartOrder> starts = harness.StartAll();
   ASSERT_EQ(starts.size(), 2U);
-  const auto hold = [&](std::int64_t tail) {
-    std::vector<ActiveRun> active = {World::Active(starts[0], 100), World::Active(starts[1], 100)};
+  const auto report_tail = [&](std::int64_t tail) {
+    std::vector<ActiveRun> active = {Harness::Active(starts[0], 100),
+                                     Harness::Active(starts[1], 100)};
     active[starts[0].task.job == JobId{1} ? 0 : 1].gauge = tail;
-    world.AnswerRenewal("a", active, {});
-    return world.Round().paces;
+    harness.AnswerRenewal("a", active, {});
+    return harness.Round().paces;
   };
-  EXPECT_TRUE(hold(50).empty());
-  const std::vector<PaceOrder> slower = hold(95);
+  EXPECT_TRUE(report_tail(50).empty());
+  const std::vector<PaceOrder> slower = report_tail(95);
   ASSERT_EQ(slower.size(), 1U);
   EXPECT_EQ(slower[0].task.job, JobId{2});
   EXPECT_EQ(slower[0].percent, 50);
-  const std::vector<PaceOrder> faster = hold(40);
+  const std::vector<PaceOrder> faster = report_tail(40);
   ASSERT_EQ(faster.size(), 1U);
   EXPECT_EQ(faster[0].percent, 60);
 }
 
-/// Steps of a queue with an adviser start only with its ticket.
+/// Steps of a queue with an adviser start only with a ticket of the adviser.
 TEST(Advice, StartsOnlyWithATicket) {
-  World world;
-  world.policy.version = 2;
-  world.policy.queues["bookings"].advice =
+  Harness harness;
+  harness.policy.version = 2;
+  harness.policy.queues["bookings"].advice =
       AdviceTerms{milliseconds(10), milliseconds(1), milliseconds(3000)};
-  world.scheduler.SetPolicy(world.policy);
-  world.Register({World::Endpoint("a"), World::Endpoint("b")});
-  world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
-  EXPECT_TRUE(world.StartAll().empty());
-  const std::vector<AdviceRequest> questions = world.scheduler.TakeAdviceRequests(world.now);
-  ASSERT_EQ(questions.size(), 1U);
-  EXPECT_EQ(questions[0].endpoints.size(), 2U);
-  EXPECT_TRUE(world.scheduler.TakeAdviceRequests(world.now).empty()) << "one question at a time";
-  world.scheduler.OnAdvice(questions[0].step, {{"b", "ticket"}}, world.now);
-  const std::vector<StartOrder> starts = world.StartAll();
+  harness.scheduler.SetPolicy(harness.policy);
+  harness.Register({Harness::Endpoint("a"), Harness::Endpoint("b")});
+  harness.scheduler.AddJob(Harness::MakeJob(1, {Harness::MakeStep(1)}), Wall(harness));
+  EXPECT_TRUE(harness.StartAll().empty());
+  const std::vector<AdviceRequest> requests = harness.scheduler.TakeAdviceRequests(harness.now);
+  ASSERT_EQ(requests.size(), 1U);
+  EXPECT_EQ(requests[0].endpoints.size(), 2U);
+  EXPECT_TRUE(harness.scheduler.TakeAdviceRequests(harness.now).empty())
+      << "one pending request at a time";
+  harness.scheduler.OnAdvice(requests[0].step, {{"b", "ticket"}}, harness.now);
+  const std::vector<StartOrder> starts = harness.StartAll();
   ASSERT_EQ(starts.size(), 1U);
   EXPECT_EQ(starts[0].endpoint, "b");
   EXPECT_EQ(starts[0].ticket, "ticket");
 }
 
-/// Ended jobs are told of for a while, then their records go.
-TEST(Scheduler, ForgetsEndedJobsAfterAWhile) {
-  World world;
-  world.Register({World::Endpoint("a")});
-  world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
-  const StartOrder start = world.StartAll().at(0);
-  world.AnswerRenewal("a", {}, {World::Ended(1, start, RunEnd::kDone)});
-  world.Store();
-  EXPECT_TRUE(world.scheduler.ExpiredJobs(Wall(world), 10).empty());
-  world.AdvanceTime(world.options.ended_job_retention + milliseconds(1));
-  const std::vector<JobId> expired = world.scheduler.ExpiredJobs(Wall(world), 10);
+/// Ended jobs can be queried for a while, then their records are removed.
+TEST(Scheduler, ForgetsEndedJobsAfterTheirRetention) {
+  Harness harness;
+  harness.Register({Harness::Endpoint("a")});
+  harness.scheduler.AddJob(Harness::MakeJob(1, {Harness::MakeStep(1)}), Wall(harness));
+  const StartOrder start = harness.StartAll().at(0);
+  harness.AnswerRenewal("a", {}, {Harness::Ended(1, start, RunEnd::kDone)});
+  harness.Store();
+  EXPECT_TRUE(harness.scheduler.ExpiredJobs(Wall(harness), 10).empty());
+  harness.AdvanceTime(harness.options.ended_job_retention + milliseconds(1));
+  const std::vector<JobId> expired = harness.scheduler.ExpiredJobs(Wall(harness), 10);
   ASSERT_EQ(expired.size(), 1U);
-  world.scheduler.Forget(expired);
-  EXPECT_FALSE(world.scheduler.Find(JobId{1}));
-  const Batch batch = world.scheduler.TakeBatch();
+  harness.scheduler.Forget(expired);
+  EXPECT_FALSE(harness.scheduler.Find(JobId{1}));
+  const Batch batch = harness.scheduler.TakeBatch();
   ASSERT_EQ(batch.records.size(), 1U);
   EXPECT_FALSE(batch.records[0].text);
 }
--- a/tests/jobs/takeover_test.cc
+++ b/tests/jobs/takeover_test.cc
@@ -8,69 +8,69 @@
 namespace {
 
 using std::chrono::milliseconds;
-using World = SchedulerHarness;
+using Harness = SchedulerHarness;
 
 std::int64_t ToMs(TimePoint time) {
   return std::chrono::duration_cast<milliseconds>(time.time_since_epoch()).count();
 }
 
-/// A predecessor has placed a task at "a" and was killed. The successor knows what was stored, in
+/// A predecessor was killed after it placed a task. The successor knows the stored records, in
 /// either form.
 class Takeover : public ::testing::TestWithParam<ProgressForm> {
  protected:
   Takeover() {
     SchedulerOptions options;
     options.progress_form = GetParam();
-    World before(options);
-    before.Register({World::Endpoint("a"), World::Endpoint("b")});
+    Harness before(options);
+    before.Register({Harness::Endpoint("a"), Harness::Endpoint("b")});
     before.scheduler.AddJob(this->job, WallTime{});
     this->start = before.Round().starts.at(0);
     this->progress = *DecodeProgress(before.stored.at(JobId{1}));
-    this->after.scheduler.SetEndpoints({World::Endpoint("a"), World::Endpoint("b")},
+    this->after.scheduler.SetEndpoints({Harness::Endpoint("a"), Harness::Endpoint("b")},
                                        this->after.now);
     this->after.scheduler.AddJob(this->job, WallTime{});
     this->after.scheduler.RestoreProgress(JobId{1}, this->progress);
   }
 
-  Job job = World::MakeJob(1, {World::MakeStep(1)});
+  Job job = Harness::MakeJob(1, {Harness::MakeStep(1)});
   StartOrder start;
   JobProgress progress;
-  World after{{}, 2};
+  Harness after{{}, 2};
 };
 
-/// The run is at work: it must go on, and nothing is started beside it.
-TEST_P(Takeover, KeepsWhatRuns) {
-  this->after.AnswerRenewal("a", {World::Active(this->start)}, {});
+/// The run is active. It must continue, and no second run may start.
+TEST_P(Takeover, KeepsActiveRuns) {
+  this->after.AnswerRenewal("a", {Harness::Active(this->start)}, {});
   this->after.AnswerRenewal("b", {}, {});
   const Orders orders = this->after.Round();
   EXPECT_TRUE(orders.starts.empty());
   EXPECT_TRUE(orders.stops.empty());
-  this->after.AnswerRenewal("a", {}, {World::Ended(1, this->start, RunEnd::kDone)});
+  this->after.AnswerRenewal("a", {}, {Harness::Ended(1, this->start, RunEnd::kDone)});
   this->after.Store();
   EXPECT_EQ(this->after.PhaseOf(1), JobPhase::kComplete);
 }
 
-/// The endpoint had started anew before it took the run, which the predecessor did not know. The
-/// successor hears of the new life first, and must not start beside it.
-TEST_P(Takeover, KeepsWhatANewLifeTook) {
-  World world({}, 2);
-  EndpointRecord reborn = World::Endpoint(this->start.endpoint);
-  reborn.born_ms = 2;
-  world.scheduler.SetEndpoints({reborn, World::Endpoint("c")}, world.now);
-  world.scheduler.AddJob(this->job, WallTime{});
-  world.scheduler.RestoreProgress(JobId{1}, this->progress);
-  world.AnswerRenewal("c", {}, {});
-  EXPECT_TRUE(world.Round().starts.empty());
-  world.AnswerRenewal(reborn.id, {World::Active(this->start)}, {}, 2);
-  EXPECT_TRUE(world.Round().starts.empty());
-  world.AnswerRenewal(reborn.id, {}, {World::Ended(1, this->start, RunEnd::kDone)}, 2);
-  world.Store();
-  EXPECT_EQ(world.PhaseOf(1), JobPhase::kComplete);
+/// The endpoint restarted before it accepted the run, unknown to the predecessor. The successor
+/// sees the new incarnation first, and must not start a second run.
+TEST_P(Takeover, KeepsRunsOfANewIncarnation) {
+  Harness harness({}, 2);
+  EndpointRecord restarted = Harness::Endpoint(this->start.endpoint);
+  restarted.born_ms = 2;
+  harness.scheduler.SetEndpoints({restarted, Harness::Endpoint("c")}, harness.now);
+  harness.scheduler.AddJob(this->job, WallTime{});
+  harness.scheduler.RestoreProgress(JobId{1}, this->progress);
+  harness.AnswerRenewal("c", {}, {});
+  EXPECT_TRUE(harness.Round().starts.empty());
+  harness.AnswerRenewal(restarted.id, {Harness::Active(this->start)}, {}, 2);
+  EXPECT_TRUE(harness.Round().starts.empty());
+  harness.AnswerRenewal(restarted.id, {}, {Harness::Ended(1, this->start, RunEnd::kDone)}, 2);
+  harness.Store();
+  EXPECT_EQ(harness.PhaseOf(1), JobPhase::kComplete);
 }
 
-/// The start never arrived. The endpoint's answer knows the successor's token, so that the order
-/// can't arrive any more, and the task starts with a higher run.
-TEST_P(Takeover, StartsWhatNeverArrived) {
+/// The start never arrived. As the endpoint has answered a request with the successor's token, it
+/// would refuse the order now, and the task starts with a higher run number.
+TEST_P(Takeover, RestartsWhatNeverArrived) {
   this->after.AnswerRenewal(this->start.endpoint, {}, {});
   const Orders orders = this->after.Round();
   ASSERT_EQ(orders.starts.size(), 1U);
@@ -78,9 +78,9 @@
   EXPECT_EQ(orders.starts[0].token, 2U);
 }
 
-/// The endpoint's rack is dark while the owner dies. The predecessor may have renewed until its
-/// proof ran out; only then, and one lease later, the run is certainly dead.
-TEST_P(Takeover, WaitsOutThePredecessorWhereItReachesNobody) {
+/// The rack of the endpoint is unreachable while the owner fails. The predecessor may have renewed
+/// leases until its proof expired. Only one lease after that, the run is certainly dead.
+TEST_P(Takeover, WaitsOutThePredecessorOfAnUnreachableEndpoint) {
   const std::string other = this->start.endpoint == "a" ? "b" : "a";
   this->after.AnswerRenewal(other, {}, {});
   this->after.scheduler.OnRenewalFailed(this->start.endpoint, OrderOutcome::kNoAnswer,
@@ -94,9 +94,9 @@
   EXPECT_EQ(orders.starts[0].endpoint, other);
 }
 
-/// The same, after the successor had renewed the leases while it read the jobs: these last longer
-/// than what the predecessor may have given.
-TEST_P(Takeover, WaitsOutTheLeasesThatWereGivenBeforeTheJobsWereKnown) {
+/// The same, after the successor renewed the leases while it loaded the jobs. These last longer
+/// than any that the predecessor may have granted.
+TEST_P(Takeover, WaitsOutTheLeasesThatWereGrantedBeforeTheJobsWereLoaded) {
   const std::string other = this->start.endpoint == "a" ? "b" : "a";
   const SchedulerOptions options;
   const TimePoint renewed = TimePoint{} + options.predecessor_grace + std::chrono::seconds(2);
@@ -113,118 +113,119 @@
   EXPECT_EQ(orders.starts[0].endpoint, other);
 }
 
-/// The endpoint lives a new life since: what the former ran is gone.
-TEST_P(Takeover, StartsAnewWhatAFormerLifeRan) {
-  World world{{}, 2};
-  EndpointRecord reborn = World::Endpoint(this->start.endpoint);
-  reborn.born_ms = 2;
-  world.scheduler.SetEndpoints({reborn}, world.now);
-  world.scheduler.AddJob(this->job, WallTime{});
-  world.scheduler.RestoreProgress(JobId{1}, this->progress);
-  world.AnswerRenewal(this->start.endpoint, {}, {}, 2);
-  EXPECT_EQ(world.Round().starts.size(), 1U);
+/// The endpoint has restarted since, so the runs of its previous incarnation are gone.
+TEST_P(Takeover, RestartsRunsOfAPreviousIncarnation) {
+  Harness harness{{}, 2};
+  EndpointRecord restarted = Harness::Endpoint(this->start.endpoint);
+  restarted.born_ms = 2;
+  harness.scheduler.SetEndpoints({restarted}, harness.now);
+  harness.scheduler.AddJob(this->job, WallTime{});
+  harness.scheduler.RestoreProgress(JobId{1}, this->progress);
+  harness.AnswerRenewal(this->start.endpoint, {}, {}, 2);
+  EXPECT_EQ(harness.Round().starts.size(), 1U);
 }
 
-/// The end was stored but not confirmed, so that the endpoint tells it to the successor again.
-TEST_P(Takeover, TakesAnEndThatWasStoredBefore) {
-  World world{{}, 2};
-  world.scheduler.SetEndpoints({World::Endpoint("a")}, world.now);
-  world.scheduler.AddJob(this->job, WallTime{});
+/// The end was stored but not confirmed, so the endpoint reports it to the successor again.
+TEST_P(Takeover, AcceptsAnEndThatWasAlreadyStored) {
+  Harness harness{{}, 2};
+  harness.scheduler.SetEndpoints({Harness::Endpoint("a")}, harness.now);
+  harness.scheduler.AddJob(this->job, WallTime{});
   JobProgress done = this->progress;
   done.rows[0].progress.phase = TaskPhase::kDone;
   done.rows[0].progress.endpoint.clear();
-  world.scheduler.RestoreProgress(JobId{1}, done);
-  world.AnswerRenewal("a", {}, {World::Ended(1, this->start, RunEnd::kDone)});
-  EXPECT_TRUE(world.Round().starts.empty());
-  EXPECT_EQ(world.PhaseOf(1), JobPhase::kComplete);
+  harness.scheduler.RestoreProgress(JobId{1}, done);
+  harness.AnswerRenewal("a", {}, {Harness::Ended(1, this->start, RunEnd::kDone)});
+  EXPECT_TRUE(harness.Round().starts.empty());
+  EXPECT_EQ(harness.PhaseOf(1), JobPhase::kComplete);
 }
 
-/// The owner was replaced between a job's failure and the record of when it ended. The successor
-/// took it for one that had ended ages ago and dropped it: its caller was told that there is no
-/// such job.
+/// Guards against a successor that drops a job whose failure is stored without an end date, as if
+/// it had ended long ago, and then reports it as unknown. This happens if the owner is replaced
+/// between the failure and the record of the end date.
 TEST_P(Takeover, KeepsAJobThatHasJustEnded) {
-  World world{{}, 2};
-  world.now = TimePoint{} + std::chrono::hours(1000);
+  Harness harness{{}, 2};
+  harness.now = TimePoint{} + std::chrono::hours(1000);
   Job ended = this->job;
-  ended.taken_ms = ToMs(world.now) - 1000000;
-  world.scheduler.AddJob(ended, WallTime(world.now.time_since_epoch()));
+  ended.taken_ms = ToMs(harness.now) - 1000000;
+  harness.scheduler.AddJob(ended, WallTime(harness.now.time_since_epoch()));
   JobProgress failed = this->progress;
   failed.phase = JobPhase::kFailed;
   failed.ended_ms = 0;
-  world.scheduler.RestoreProgress(JobId{1}, failed);
-  EXPECT_TRUE(world.scheduler.ExpiredJobs(WallTime(world.now.time_since_epoch()), 10).empty());
-  EXPECT_EQ(world.PhaseOf(1), JobPhase::kFailed);
+  harness.scheduler.RestoreProgress(JobId{1}, failed);
+  EXPECT_TRUE(harness.scheduler.ExpiredJobs(WallTime(harness.now.time_since_epoch()), 10).empty());
+  EXPECT_EQ(harness.PhaseOf(1), JobPhase::kFailed);
 }
 
-/// How a job came to its end while a run of it was still being stopped.
+/// How a job ends while one of its runs is still being stopped.
 struct EndingCase {
   const char* name;
-  /// The job's, which fill an endpoint together.
+  /// Number of tasks of the job, which fill an endpoint together.
   std::uint32_t tasks;
-  /// Gives the run that is left at "a".
-  std::function<StartOrder(World&)> end;
+  /// Ends the job and returns the start of the run that remains at "a".
+  std::function<StartOrder(Harness&)> end;
 };
 
 Job MakeFilling(std::uint64_t number, std::uint32_t tasks) {
-  return World::MakeJob(number, {World::MakeStep(tasks, 8000 / tasks)});
+  return Harness::MakeJob(number, {Harness::MakeStep(tasks, 8000 / tasks)});
 }
 
-StartOrder EndByCancelling(World& world) {
-  StartOrder start = world.StartAll().at(0);
-  world.scheduler.CancelJob(JobId{1});
+StartOrder EndByCancelling(Harness& harness) {
+  StartOrder start = harness.StartAll().at(0);
+  harness.scheduler.CancelJob(JobId{1});
   return start;
 }
 
 /// One of two tasks fails for the last time.
-StartOrder EndByFailing(World& world) {
-  const std::vector<StartOrder> starts = world.StartAll();
-  world.AnswerRenewal("a", {World::Active(starts[0])},
-                      {World::Ended(1, starts[1], RunEnd::kFailed)});
-  const StartOrder again = world.StartAll().at(0);
-  world.AnswerRenewal("a", {World::Active(starts[0])}, {World::Ended(2, again, RunEnd::kFailed)});
+StartOrder EndByFailing(Harness& harness) {
+  const std::vector<StartOrder> starts = harness.StartAll();
+  harness.AnswerRenewal("a", {Harness::Active(starts[0])},
+                        {Harness::Ended(1, starts[1], RunEnd::kFailed)});
+  const StartOrder again = harness.StartAll().at(0);
+  harness.AnswerRenewal("a", {Harness::Active(starts[0])},
+                        {Harness::Ended(2, again, RunEnd::kFailed)});
   return starts[0];
 }
 
-/// The first run, taken as dead, turns out to have ended well.
-StartOrder EndByAnEarlierRun(World& world) {
-  world.scheduler.SetEndpoints({World::Endpoint("b")}, world.now);
-  world.AnswerRenewal("b", {}, {});
-  const StartOrder first = world.StartAll().at(0);
-  world.scheduler.OnRenewalFailed("b", OrderOutcome::kNoAnswer, world.now);
-  world.AdvanceTime(SchedulerOptions{}.LongestLease() + std::chrono::seconds(1));
-  world.Decide();
-  world.Store();
-  world.Register({World::Endpoint("a")});
-  StartOrder second = world.StartAll().at(0);
-  world.scheduler.SetEndpoints({World::Endpoint("a"), World::Endpoint("b")}, world.now);
-  world.AnswerRenewal("b", {}, {World::Ended(1, first, RunEnd::kDone)});
+/// The first run, considered dead, turns out to have succeeded.
+StartOrder EndByAnEarlierRun(Harness& harness) {
+  harness.scheduler.SetEndpoints({Harness::Endpoint("b")}, harness.now);
+  harness.AnswerRenewal("b", {}, {});
+  const StartOrder first = harness.StartAll().at(0);
+  harness.scheduler.OnRenewalFailed("b", OrderOutcome::kNoAnswer, harness.now);
+  harness.AdvanceTime(SchedulerOptions{}.LongestLease() + std::chrono::seconds(1));
+  harness.Decide();
+  harness.Store();
+  harness.Register({Harness::Endpoint("a")});
+  StartOrder second = harness.StartAll().at(0);
+  harness.scheduler.SetEndpoints({Harness::Endpoint("a"), Harness::Endpoint("b")}, harness.now);
+  harness.AnswerRenewal("b", {}, {Harness::Ended(1, first, RunEnd::kDone)});
   return second;
 }
 
-/// Guards against a successor that takes the runs of a job for over because its end is stored, and
-/// starts others in the room where they still are.
+/// Guards against a successor that considers the runs of a job ended because the end of the job is
+/// stored, and starts others in the capacity that they still use.
 class EndedWithARun : public ::testing::TestWithParam<EndingCase> {};
 
-TEST_P(EndedWithARun, KeepsItsRoomUntilItIsGone) {
-  World before;
-  before.Register({World::Endpoint("a")});
+TEST_P(EndedWithARun, KeepsItsCapacityUntilTheRunEnds) {
+  Harness before;
+  before.Register({Harness::Endpoint("a")});
   before.scheduler.AddJob(MakeFilling(1, GetParam().tasks), WallTime{});
   const StartOrder left = GetParam().end(before);
   before.Store();
   const JobProgress stored = *DecodeProgress(before.stored.at(JobId{1}));
   ASSERT_TRUE(stored.IsEnded());
-  World after{{}, 2};
+  Harness after{{}, 2};
   after.now = before.now;
-  after.scheduler.SetEndpoints({World::Endpoint("a")}, after.now);
+  after.scheduler.SetEndpoints({Harness::Endpoint("a")}, after.now);
   after.scheduler.AddJob(MakeFilling(1, GetParam().tasks), WallTime{});
   after.scheduler.AddJob(MakeFilling(2, 1), WallTime{});
   after.scheduler.RestoreProgress(JobId{1}, stored);
-  after.AnswerRenewal("a", {World::Active(left)}, {});
+  after.AnswerRenewal("a", {Harness::Active(left)}, {});
   const Orders orders = after.Round();
   EXPECT_TRUE(orders.starts.empty());
   ASSERT_EQ(orders.stops.size(), 1U);
   EXPECT_EQ(orders.stops[0].task, left.task);
-  after.AnswerRenewal("a", {}, {World::Ended(9, left, RunEnd::kStopped)});
+  after.AnswerRenewal("a", {}, {Harness::Ended(9, left, RunEnd::kStopped)});
   EXPECT_EQ(after.StartAll().size(), 1U);
   EXPECT_EQ(after.PhaseOf(1), stored.phase);
   after.Decide();
@@ -238,22 +239,22 @@
                                            EndingCase{"complete", 1, EndByAnEarlierRun}),
                          [](const auto& info) { return info.param.name; });
 
-/// What runs belongs to a job that nobody knows, as it was cancelled and forgotten.
-TEST_P(Takeover, StopsWhatNobodyAskedFor) {
-  StartOrder stray = this->start;
-  stray.task.job = JobId{99};
-  this->after.AnswerRenewal("a", {World::Active(stray)}, {});
+/// The active run belongs to an unknown job, one that was cancelled and forgotten.
+TEST_P(Takeover, StopsOrphanedRuns) {
+  StartOrder orphan = this->start;
+  orphan.task.job = JobId{99};
+  this->after.AnswerRenewal("a", {Harness::Active(orphan)}, {});
   const Orders orders = this->after.Round();
   ASSERT_EQ(orders.stops.size(), 1U);
   EXPECT_EQ(orders.stops[0].task.job, JobId{99});
 }
 
-/// The process runs slowly: a renewal comes up seconds after the last proof that there is no
-/// successor, and nothing has looked at the proof's age in between. A successor may take the run as
-/// dead by then and start it elsewhere.
+/// In a slow process, a renewal may become due seconds after the last proof that there is no
+/// successor, without a check of the age of the proof in between. By then a successor may consider
+/// the run dead and start it elsewhere.
 TEST_P(Takeover, RenewsNothingWithoutProof) {
   const SchedulerOptions options;
-  this->after.AnswerRenewal("a", {World::Active(this->start)}, {});
+  this->after.AnswerRenewal("a", {Harness::Active(this->start)}, {});
   EXPECT_TRUE(this->after.scheduler.PlanRenewal("a", this->after.now).order.lease_end_ms);
   this->after.now = TimePoint{} + options.predecessor_grace;
   EXPECT_FALSE(this->after.scheduler.PlanRenewal("a", this->after.now).order.lease_end_ms);
@@ -261,34 +262,34 @@
   EXPECT_TRUE(this->after.scheduler.PlanRenewal("a", this->after.now).order.lease_end_ms);
 }
 
-/// The operators go back to a version that reads rows only, and first ask for rows. A record that
-/// stayed in the compact form would be unknown to that version, which would start its job's tasks a
+/// Operators switch to rows before they deploy an older version that reads rows only. A record left
+/// in the compact form would be unknown to that version, which would start the tasks of its job a
 /// second time.
-TEST_P(Takeover, LeavesNoCompactRecordBehindWhereRowsAreAskedFor) {
+TEST_P(Takeover, RewritesCompactRecordsIfRowsAreConfigured) {
   SchedulerOptions options;
   options.progress_form = ProgressForm::kRows;
-  World world(options, 2);
-  world.scheduler.AddJob(this->job, WallTime{});
+  Harness harness(options, 2);
+  harness.scheduler.AddJob(this->job, WallTime{});
   const std::string record = EncodeProgress(this->progress, GetParam());
-  ASSERT_TRUE(world.scheduler.RestoreStored(JobId{1}, record));
-  world.Store();
+  ASSERT_TRUE(harness.scheduler.RestoreStored(JobId{1}, record));
+  harness.Store();
   const bool was_compact = GetParam() == ProgressForm::kCompact;
-  ASSERT_EQ(world.stored.size(), was_compact ? 1U : 0U);
+  ASSERT_EQ(harness.stored.size(), was_compact ? 1U : 0U);
   if (was_compact) {
-    EXPECT_EQ(world.stored.at(JobId{1}), EncodeProgress(this->progress, ProgressForm::kRows));
+    EXPECT_EQ(harness.stored.at(JobId{1}), EncodeProgress(this->progress, ProgressForm::kRows));
   }
 }
 
-/// A switch to the compact form must not write all jobs that go on at the next take-over.
-TEST_P(Takeover, LeavesRowsAsTheyAreWhereCompactRecordsAreAskedFor) {
+/// After a switch to the compact form, the next takeover must not rewrite all active jobs.
+TEST_P(Takeover, KeepsRowsIfCompactRecordsAreConfigured) {
   SchedulerOptions options;
   options.progress_form = ProgressForm::kCompact;
-  World world(options, 2);
-  world.scheduler.AddJob(this->job, WallTime{});
+  Harness harness(options, 2);
+  harness.scheduler.AddJob(this->job, WallTime{});
   const std::string record = EncodeProgress(this->progress, GetParam());
-  ASSERT_TRUE(world.scheduler.RestoreStored(JobId{1}, record));
-  world.Store();
-  EXPECT_TRUE(world.stored.empty());
+  ASSERT_TRUE(harness.scheduler.RestoreStored(JobId{1}, record));
+  harness.Store();
+  EXPECT_TRUE(harness.stored.empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(Forms, Takeover,
@@ -297,54 +298,55 @@
                            return info.param == ProgressForm::kRows ? "rows" : "compact";
                          });
 
-/// A record of a later version: the reason is for the log, and names what this version can't read.
+/// The record is of a later version. The error, which is logged, names the field that this version
+/// can't read.
 TEST(StoredRecords, AreRefusedByTheFieldThatCannotBeRead) {
-  World world({}, 2);
-  world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), WallTime{});
-  const Status restored = world.scheduler.RestoreStored(JobId{1}, "[1,[],[[9,0,[1]]]]");
+  Harness harness({}, 2);
+  harness.scheduler.AddJob(Harness::MakeJob(1, {Harness::MakeStep(1)}), WallTime{});
+  const Status restored = harness.scheduler.RestoreStored(JobId{1}, "[1,[],[[9,0,[1]]]]");
   ASSERT_FALSE(restored);
   EXPECT_EQ(restored.LastReason().field, "groups/0/phase");
 }
 
-/// A job's submission is dropped once its end is stored. Its caller asks the successor, which has
-/// only the progress; told that there is no such job, he hands it in again.
+/// The submission of a job is removed once its end is stored, so a successor has only the progress.
+/// If it reported the job as unknown, the caller would submit it again.
 TEST(EndedJobs, AreKnownByTheirProgressAlone) {
-  World world;
+  Harness harness;
   JobProgress ended;
   ended.phase = JobPhase::kComplete;
   ended.ended_ms = 5;
-  world.scheduler.RestoreProgress(JobId{1}, ended);
-  JobProgress going_on;
-  going_on.phase = JobPhase::kRunning;
-  world.scheduler.RestoreProgress(JobId{2}, going_on);
-  world.Register({World::Endpoint("a")});
-  ASSERT_TRUE(world.scheduler.Find(JobId{1}));
-  EXPECT_EQ(world.PhaseOf(1), JobPhase::kComplete);
-  EXPECT_FALSE(world.scheduler.Find(JobId{2})) << "nothing is known of what it is";
-  // A repeat of its submission came after the end.
-  world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), WallTime{});
-  EXPECT_TRUE(world.StartAll().empty());
-  EXPECT_EQ(world.scheduler.ExpiredJobs(WallTime(std::chrono::hours(1)), 10),
+  harness.scheduler.RestoreProgress(JobId{1}, ended);
+  JobProgress running;
+  running.phase = JobPhase::kRunning;
+  harness.scheduler.RestoreProgress(JobId{2}, running);
+  harness.Register({Harness::Endpoint("a")});
+  ASSERT_TRUE(harness.scheduler.Find(JobId{1}));
+  EXPECT_EQ(harness.PhaseOf(1), JobPhase::kComplete);
+  EXPECT_FALSE(harness.scheduler.Find(JobId{2})) << "its submission is unknown";
+  // Its submission is repeated after the end.
+  harness.scheduler.AddJob(Harness::MakeJob(1, {Harness::MakeStep(1)}), WallTime{});
+  EXPECT_TRUE(harness.StartAll().empty());
+  EXPECT_EQ(harness.scheduler.ExpiredJobs(WallTime(std::chrono::hours(1)), 10),
             std::vector<JobId>{JobId{1}});
 }
 
-/// Told before its end is stored, a job's submission would be dropped while a successor still has
-/// to run it.
-TEST(EndedJobs, CountAsEndedOnceThatIsStored) {
-  World world;
-  world.Register({World::Endpoint("a")});
-  world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), WallTime{});
-  const StartOrder start = world.StartAll().at(0);
-  world.AnswerRenewal("a", {}, {World::Ended(1, start, RunEnd::kDone)});
-  world.Decide();
-  EXPECT_TRUE(world.scheduler.TakeEndedJobs().empty());
-  world.Store();
-  EXPECT_EQ(world.scheduler.TakeEndedJobs(), std::vector<JobId>{JobId{1}});
-  EXPECT_TRUE(world.scheduler.TakeEndedJobs().empty());
+/// If the end were returned before it is stored, the submission would be removed while a successor
+/// may still have to run the job.
+TEST(EndedJobs, CountAsEndedOnceTheirEndIsStored) {
+  Harness harness;
+  harness.Register({Harness::Endpoint("a")});
+  harness.scheduler.AddJob(Harness::MakeJob(1, {Harness::MakeStep(1)}), WallTime{});
+  const StartOrder start = harness.StartAll().at(0);
+  harness.AnswerRenewal("a", {}, {Harness::Ended(1, start, RunEnd::kDone)});
+  harness.Decide();
+  EXPECT_TRUE(harness.scheduler.TakeEndedJobs().empty());
+  harness.Store();
+  EXPECT_EQ(harness.scheduler.TakeEndedJobs(), std::vector<JobId>{JobId{1}});
+  EXPECT_TRUE(harness.scheduler.TakeEndedJobs().empty());
 }
 
-/// Guards against an owner that renews for longer than its successor waits: the answer to its
-/// announcement took 0.9 s, in which the successor announced its own.
+/// Guards against an owner that renews for longer than its successor waits. The answer to its
+/// announcement may take 0.9 s, during which a successor announces itself.
 TEST(Takeover, RenewalsPauseByTheTimeAtWhichTheAnnouncementWasSent) {
   const SchedulerOptions options;
   const TimePoint sent{};
--- a/tests/jobs/waiting_jobs_test.cc
+++ b/tests/jobs/waiting_jobs_test.cc
@@ -10,201 +10,201 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using World = SchedulerHarness;
+using Harness = SchedulerHarness;
 
-/// Longer than a count is told again.
-constexpr Duration kRecount = milliseconds(500);
+/// Longer than a count is cached.
+constexpr Duration kRecountDelay = milliseconds(500);
 
-/// What became of the first order to start a job of one task.
+/// What happens to the first start order of a job of one task.
 struct WaitingCase {
   const char* name;
-  std::function<void(World&, const StartOrder&)> happen;
+  std::function<void(Harness&, const StartOrder&)> happen;
 };
 
-/// The endpoint doesn't answer any more, and no other is registered.
-void FallSilent(World& world, const std::string& endpoint) {
-  world.scheduler.SetEndpoints({}, world.now);
-  world.scheduler.OnRenewalFailed(endpoint, OrderOutcome::kNoAnswer, world.now);
+/// The endpoint stops answering, and no other is registered.
+void MakeUnresponsive(Harness& harness, const std::string& endpoint) {
+  harness.scheduler.SetEndpoints({}, harness.now);
+  harness.scheduler.OnRenewalFailed(endpoint, OrderOutcome::kNoAnswer, harness.now);
 }
 
-void Answer(World& world, const StartOrder& start, OrderOutcome outcome) {
-  world.scheduler.OnStartAnswered(start, outcome, world.now);
+void Answer(Harness& harness, const StartOrder& start, OrderOutcome outcome) {
+  harness.scheduler.OnStartAnswered(start, outcome, harness.now);
 }
 
-std::uint64_t Recount(World& world) {
-  world.AdvanceTime(kRecount);
-  world.Decide();
-  return world.scheduler.PendingIn("bookings");
+std::uint64_t Recount(Harness& harness) {
+  harness.AdvanceTime(kRecountDelay);
+  harness.Decide();
+  return harness.scheduler.PendingIn("bookings");
 }
 
-StartOrder OrderOne(World& world) {
-  world.Register({World::Endpoint("a")});
-  world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), WallTime{});
-  return world.Round().starts.at(0);
+StartOrder OrderOne(Harness& harness) {
+  harness.Register({Harness::Endpoint("a")});
+  harness.scheduler.AddJob(Harness::MakeJob(1, {Harness::MakeStep(1)}), WallTime{});
+  return harness.Round().starts.at(0);
 }
 
-/// `after` takes over from `before` with what that one has stored.
-void TakeOver(World& after, const World& before, const std::vector<EndpointRecord>& endpoints) {
+/// `after` takes over from `before` with the stored records of `before`.
+void TakeOver(Harness& after, const Harness& before, const std::vector<EndpointRecord>& endpoints) {
   after.now = before.now;
   after.scheduler.SetEndpoints(endpoints, after.now);
-  after.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), WallTime{});
+  after.scheduler.AddJob(Harness::MakeJob(1, {Harness::MakeStep(1)}), WallTime{});
   after.scheduler.RestoreProgress(JobId{1}, *DecodeProgress(before.stored.at(JobId{1})));
 }
 
-/// Guards against a count of waiting jobs that leaves out jobs whose order never became a run.
-class OrderedButNotBegun : public ::testing::TestWithParam<WaitingCase> {};
+/// Guards against a count of waiting jobs that omits jobs whose start order never led to a run.
+class OrderedButNotStarted : public ::testing::TestWithParam<WaitingCase> {};
 
-TEST_P(OrderedButNotBegun, StillWaits) {
-  World world;
-  const StartOrder start = OrderOne(world);
-  GetParam().happen(world, start);
-  EXPECT_EQ(Recount(world), 1U);
-  EXPECT_EQ(world.PhaseOf(1), JobPhase::kQueued);
+TEST_P(OrderedButNotStarted, StillWaits) {
+  Harness harness;
+  const StartOrder start = OrderOne(harness);
+  GetParam().happen(harness, start);
+  EXPECT_EQ(Recount(harness), 1U);
+  EXPECT_EQ(harness.PhaseOf(1), JobPhase::kQueued);
 }
 
-TEST_P(OrderedButNotBegun, StillWaitsForASuccessor) {
-  World before;
+TEST_P(OrderedButNotStarted, StillWaitsForASuccessor) {
+  Harness before;
   const StartOrder start = OrderOne(before);
   GetParam().happen(before, start);
   before.Store();
-  World after{{}, 2};
+  Harness after{{}, 2};
   TakeOver(after, before, {});
   EXPECT_EQ(Recount(after), 1U);
   EXPECT_EQ(after.PhaseOf(1), JobPhase::kQueued);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Orders, OrderedButNotBegun,
+    Orders, OrderedButNotStarted,
     ::testing::Values(
-        WaitingCase{"under_way", [](World&, const StartOrder&) {}},
+        WaitingCase{"in_flight", [](Harness&, const StartOrder&) {}},
         WaitingCase{"no_room",
-                    [](World& world, const StartOrder& start) {
-                      Answer(world, start, OrderOutcome::kNoRoom);
+                    [](Harness& harness, const StartOrder& start) {
+                      Answer(harness, start, OrderOutcome::kNoRoom);
                     }},
         WaitingCase{"refused",
-                    [](World& world, const StartOrder& start) {
-                      Answer(world, start, OrderOutcome::kRefused);
+                    [](Harness& harness, const StartOrder& start) {
+                      Answer(harness, start, OrderOutcome::kRefused);
                     }},
         WaitingCase{"too_late",
-                    [](World& world, const StartOrder& start) {
-                      Answer(world, start, OrderOutcome::kTooLate);
+                    [](Harness& harness, const StartOrder& start) {
+                      Answer(harness, start, OrderOutcome::kTooLate);
                     }},
         WaitingCase{"not_sent",
-                    [](World& world, const StartOrder& start) {
-                      Answer(world, start, OrderOutcome::kNotSent);
+                    [](Harness& harness, const StartOrder& start) {
+                      Answer(harness, start, OrderOutcome::kNotSent);
                     }},
         WaitingCase{"another_endpoint_answers",
-                    [](World& world, const StartOrder& start) {
-                      Answer(world, start, OrderOutcome::kOtherLife);
+                    [](Harness& harness, const StartOrder& start) {
+                      Answer(harness, start, OrderOutcome::kOtherLife);
                     }},
         WaitingCase{"no_answer_yet",
-                    [](World& world, const StartOrder& start) {
-                      Answer(world, start, OrderOutcome::kNoAnswer);
+                    [](Harness& harness, const StartOrder& start) {
+                      Answer(harness, start, OrderOutcome::kNoAnswer);
                     }},
         WaitingCase{"not_listed",
-                    [](World& world, const StartOrder& start) {
-                      Answer(world, start, OrderOutcome::kNoAnswer);
-                      world.AdvanceTime(SchedulerOptions{}.LongestLease() + seconds(1));
-                      world.AnswerRenewal("a", {}, {});
+                    [](Harness& harness, const StartOrder& start) {
+                      Answer(harness, start, OrderOutcome::kNoAnswer);
+                      harness.AdvanceTime(SchedulerOptions{}.LongestLease() + seconds(1));
+                      harness.AnswerRenewal("a", {}, {});
                     }},
         WaitingCase{"lease_lapsed",
-                    [](World& world, const StartOrder& start) {
-                      Answer(world, start, OrderOutcome::kNoAnswer);
-                      FallSilent(world, "a");
-                      world.AdvanceTime(SchedulerOptions{}.LongestLease() + seconds(1));
-                      world.Decide();
+                    [](Harness& harness, const StartOrder& start) {
+                      Answer(harness, start, OrderOutcome::kNoAnswer);
+                      MakeUnresponsive(harness, "a");
+                      harness.AdvanceTime(SchedulerOptions{}.LongestLease() + seconds(1));
+                      harness.Decide();
                     }},
-        WaitingCase{"endpoint_started_anew",
-                    [](World& world, const StartOrder& start) {
-                      Answer(world, start, OrderOutcome::kNoAnswer);
-                      world.AnswerRenewal("a", {}, {}, 2);
-                      world.AdvanceTime(SchedulerOptions{}.LongestLease() + seconds(1));
-                      world.AnswerRenewal("a", {}, {}, 2);
+        WaitingCase{"endpoint_restarted",
+                    [](Harness& harness, const StartOrder& start) {
+                      Answer(harness, start, OrderOutcome::kNoAnswer);
+                      harness.AnswerRenewal("a", {}, {}, 2);
+                      harness.AdvanceTime(SchedulerOptions{}.LongestLease() + seconds(1));
+                      harness.AnswerRenewal("a", {}, {}, 2);
                     }}),
     [](const auto& info) { return info.param.name; });
 
-/// Guards against a count that takes a job for waiting again, once a task of it has begun.
-class Begun : public ::testing::TestWithParam<WaitingCase> {};
+/// Guards against a count that includes a job again after one of its tasks has started.
+class Started : public ::testing::TestWithParam<WaitingCase> {};
 
-TEST_P(Begun, WaitsNoMore) {
-  World world;
-  const StartOrder start = OrderOne(world);
-  GetParam().happen(world, start);
-  EXPECT_EQ(Recount(world), 0U);
-  EXPECT_NE(world.PhaseOf(1), JobPhase::kQueued);
+TEST_P(Started, IsNoLongerWaiting) {
+  Harness harness;
+  const StartOrder start = OrderOne(harness);
+  GetParam().happen(harness, start);
+  EXPECT_EQ(Recount(harness), 0U);
+  EXPECT_NE(harness.PhaseOf(1), JobPhase::kQueued);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Runs, Begun,
+    Runs, Started,
     ::testing::Values(WaitingCase{"confirmed",
-                                  [](World& world, const StartOrder& start) {
-                                    Answer(world, start, OrderOutcome::kDone);
+                                  [](Harness& harness, const StartOrder& start) {
+                                    Answer(harness, start, OrderOutcome::kDone);
                                   }},
                       WaitingCase{"listed_after_a_lost_answer",
-                                  [](World& world, const StartOrder& start) {
-                                    Answer(world, start, OrderOutcome::kNoAnswer);
-                                    world.AnswerRenewal("a", {World::Active(start)}, {});
+                                  [](Harness& harness, const StartOrder& start) {
+                                    Answer(harness, start, OrderOutcome::kNoAnswer);
+                                    harness.AnswerRenewal("a", {Harness::Active(start)}, {});
                                   }},
-                      WaitingCase{"its_end_heard_first",
-                                  [](World& world, const StartOrder& start) {
-                                    world.AnswerRenewal("a", {},
-                                                        {World::Ended(1, start, RunEnd::kFailed)});
+                      WaitingCase{"its_end_reported_first",
+                                  [](Harness& harness, const StartOrder& start) {
+                                    harness.AnswerRenewal(
+                                        "a", {}, {Harness::Ended(1, start, RunEnd::kFailed)});
                                   }},
                       WaitingCase{"lost_with_its_endpoint",
-                                  [](World& world, const StartOrder& start) {
-                                    Answer(world, start, OrderOutcome::kDone);
-                                    FallSilent(world, "a");
-                                    world.AdvanceTime(SchedulerOptions{}.LongestLease() +
-                                                      seconds(1));
-                                    world.Decide();
+                                  [](Harness& harness, const StartOrder& start) {
+                                    Answer(harness, start, OrderOutcome::kDone);
+                                    MakeUnresponsive(harness, "a");
+                                    harness.AdvanceTime(SchedulerOptions{}.LongestLease() +
+                                                        seconds(1));
+                                    harness.Decide();
                                   }},
                       WaitingCase{"listed_while_it_is_stopped",
-                                  [](World& world, const StartOrder& start) {
-                                    Answer(world, start, OrderOutcome::kNoAnswer);
-                                    world.AdvanceTime(SchedulerOptions{}.LongestLease());
-                                    world.Decide();
-                                    world.AnswerRenewal("a", {World::Active(start)}, {});
+                                  [](Harness& harness, const StartOrder& start) {
+                                    Answer(harness, start, OrderOutcome::kNoAnswer);
+                                    harness.AdvanceTime(SchedulerOptions{}.LongestLease());
+                                    harness.Decide();
+                                    harness.AnswerRenewal("a", {Harness::Active(start)}, {});
                                   }}),
     [](const auto& info) { return info.param.name; });
 
-/// Guards against a successor that takes a job for waiting although its predecessor saw it begin.
-TEST(WaitingJobs, ASuccessorKnowsWhatHasBegun) {
-  World before;
+/// Guards against a successor that counts a job as waiting although its predecessor saw it start.
+TEST(WaitingJobs, ASuccessorKnowsWhichJobsHaveStarted) {
+  Harness before;
   const StartOrder start = OrderOne(before);
   Answer(before, start, OrderOutcome::kDone);
-  before.AnswerRenewal("a", {}, {World::Ended(1, start, RunEnd::kFailed)});
+  before.AnswerRenewal("a", {}, {Harness::Ended(1, start, RunEnd::kFailed)});
   before.Store();
-  World after{{}, 2};
+  Harness after{{}, 2};
   TakeOver(after, before, {});
   EXPECT_EQ(Recount(after), 0U);
 }
 
-/// Guards against a successor that counts a run as waiting that its endpoint lists.
-TEST(WaitingJobs, ASuccessorHearsFromTheEndpointWhatHasBegun) {
-  World before;
+/// Guards against a successor that counts a job as waiting although an endpoint lists its run.
+TEST(WaitingJobs, ASuccessorLearnsFromTheEndpointWhichJobsHaveStarted) {
+  Harness before;
   const StartOrder start = OrderOne(before);
   Answer(before, start, OrderOutcome::kDone);
-  World after{{}, 2};
+  Harness after{{}, 2};
   TakeOver(after, before, before.endpoints);
-  after.AnswerRenewal("a", {World::Active(start)}, {});
+  after.AnswerRenewal("a", {Harness::Active(start)}, {});
   EXPECT_EQ(Recount(after), 0U);
 }
 
-/// Guards against a successor that takes a job for waiting whose only run was lost.
+/// Guards against a successor that counts a job as waiting whose only run was lost.
 TEST(WaitingJobs, ASuccessorKnowsOfARunThatWasLost) {
-  World before;
+  Harness before;
   const StartOrder start = OrderOne(before);
   Answer(before, start, OrderOutcome::kDone);
-  FallSilent(before, "a");
+  MakeUnresponsive(before, "a");
   before.AdvanceTime(SchedulerOptions{}.LongestLease() + seconds(1));
   before.Round();
-  World after{{}, 2};
+  Harness after{{}, 2};
   TakeOver(after, before, {});
   EXPECT_EQ(Recount(after), 0U);
   EXPECT_EQ(after.PhaseOf(1), JobPhase::kRunning);
 }
 
-/// A job of one task that runs for long without anything else to store of it.
+/// A job of one task that runs for long without any further changes to store.
 struct LongCase {
   const char* name;
   bool is_long_running;
@@ -213,20 +213,20 @@
 
 class LongJobs : public ::testing::TestWithParam<LongCase> {};
 
-/// Guards against a successor that tells callers "queued" of a job that was told to run for long.
-TEST_P(LongJobs, ASuccessorDoesNotTakeBackThatTheyRun) {
-  Step step = World::MakeStep(1);
+/// Guards against a successor that reports a job as queued that was reported as running before.
+TEST_P(LongJobs, ASuccessorStillReportsThemAsRunning) {
+  Step step = Harness::MakeStep(1);
   step.is_long_running = GetParam().is_long_running;
   step.estimate_ms = GetParam().estimate_ms;
-  const Job job = World::MakeJob(1, {step});
-  World before;
-  before.Register({World::Endpoint("a")});
+  const Job job = Harness::MakeJob(1, {step});
+  Harness before;
+  before.Register({Harness::Endpoint("a")});
   before.scheduler.AddJob(job, WallTime{});
   const StartOrder start = before.Round().starts.at(0);
   Answer(before, start, OrderOutcome::kDone);
   before.Round();
   ASSERT_EQ(before.PhaseOf(1), JobPhase::kRunning);
-  World after{{}, 2};
+  Harness after{{}, 2};
   after.now = before.now;
   after.scheduler.AddJob(job, WallTime{});
   after.scheduler.RestoreProgress(JobId{1}, *DecodeProgress(before.stored.at(JobId{1})));
@@ -239,45 +239,45 @@
                                            LongCase{"long_estimate", false, 60000}),
                          [](const auto& info) { return info.param.name; });
 
-bool IsTold(World& world, const std::string& event) {
-  const std::vector<DecisionEvent> notes = world.scheduler.TakeEvents();
-  return std::any_of(notes.begin(), notes.end(),
-                     [&](const DecisionEvent& note) { return note.event == event; });
+bool IsLogged(Harness& harness, const std::string& event) {
+  const std::vector<DecisionEvent> events = harness.scheduler.TakeEvents();
+  return std::any_of(events.begin(), events.end(),
+                     [&](const DecisionEvent& logged) { return logged.event == event; });
 }
 
-/// Guards against a second line on a job's start, with a wait that was none, after a take-over.
-TEST(WaitingJobs, AStartIsToldOnce) {
-  World before;
+/// Guards against a second log line about the start of a job after a takeover, with a wrong wait.
+TEST(WaitingJobs, AStartIsLoggedOnce) {
+  Harness before;
   const StartOrder start = OrderOne(before);
   Answer(before, start, OrderOutcome::kDone);
-  EXPECT_TRUE(IsTold(before, "job_started"));
-  World after{{}, 2};
+  EXPECT_TRUE(IsLogged(before, "job_started"));
+  Harness after{{}, 2};
   TakeOver(after, before, before.endpoints);
-  after.AnswerRenewal("a", {World::Active(start)}, {});
-  EXPECT_FALSE(IsTold(after, "job_started"));
+  after.AnswerRenewal("a", {Harness::Active(start)}, {});
+  EXPECT_FALSE(IsLogged(after, "job_started"));
 }
 
-/// Guards against an answer "none waits" that leaves no trace in the logs.
-TEST(WaitingJobs, ACountOfNoneIsToldToo) {
-  World world;
-  EXPECT_EQ(Recount(world), 0U);
-  EXPECT_TRUE(IsTold(world, "waiting_jobs_told"));
+/// Guards against a reported count of zero that leaves no trace in the log.
+TEST(WaitingJobs, ACountOfZeroIsLogged) {
+  Harness harness;
+  EXPECT_EQ(Recount(harness), 0U);
+  EXPECT_TRUE(IsLogged(harness, "waiting_jobs_told"));
 }
 
-/// Guards against a successor that tells callers "queued" of a run that they were told of, and
-/// counts it as waiting, since nothing is stored while it goes on.
-TEST(WaitingJobs, ASuccessorDoesNotTakeBackThatAJobRuns) {
-  World before;
+/// Guards against a successor that reports a job as queued and counts it as waiting although it was
+/// reported as running before, since nothing is stored while a run continues.
+TEST(WaitingJobs, ASuccessorStillReportsAJobAsRunning) {
+  Harness before;
   const StartOrder start = OrderOne(before);
   Answer(before, start, OrderOutcome::kDone);
   for (int i = 0; i < 60; ++i) {
     before.AdvanceTime(seconds(1));
     before.scheduler.SetProof(before.now);
-    before.AnswerRenewal("a", {World::Active(start)}, {});
+    before.AnswerRenewal("a", {Harness::Active(start)}, {});
     before.Round();
   }
   ASSERT_EQ(before.PhaseOf(1), JobPhase::kRunning);
-  World after{{}, 2};
+  Harness after{{}, 2};
   TakeOver(after, before, before.endpoints);
   EXPECT_EQ(after.PhaseOf(1), JobPhase::kRunning);
   EXPECT_EQ(Recount(after), 0U);
