--- a/include/chervilspar/jobs/scheduler.h
+++ b/include/chervilspar/jobs/scheduler.h
@@ -111,7 +111,7 @@
   bool has_long_running = false;
   /// It is registered, responsive and not draining. Also true while it is being evacuated.
   bool is_serving = false;
-  /// Its last renewal failed.
+  /// It was unreachable or has restarted, and has not answered a renewal since.
   bool is_silent = false;
 
   friend bool operator==(const EndpointUsage&, const EndpointUsage&) = default;
