--- a/tests/jobs/scheduler_world.h
+++ b/tests/jobs/scheduler_harness.h
@@ -8,11 +8,11 @@
 
 namespace chervilspar::jobs {
 
-/// Drives a scheduler by hand: time, endpoints that answer as they are told, and a store that
-/// confirms when it is told.
-class SchedulerWorld {
+/// Drives a scheduler step by step, with a manual clock, scripted endpoints and a store that
+/// confirms on demand.
+class SchedulerHarness {
  public:
-  explicit SchedulerWorld(SchedulerOptions options = {}, std::uint64_t token = 1)
+  explicit SchedulerHarness(SchedulerOptions options = {}, std::uint64_t token = 1)
       : options(options), scheduler(options, token, TimePoint{}) {
     Policy policy;
     policy.version = 1;
@@ -65,29 +65,29 @@
     this->endpoints = records;
     this->scheduler.SetEndpoints(records, this->now);
     for (const EndpointRecord& record : records) {
-      this->Hold(record.id, {}, {});
+      this->AnswerRenewal(record.id, {}, {});
     }
   }
 
-  void Pass(Duration span) { this->now += span; }
+  void AdvanceTime(Duration duration) { this->now += duration; }
 
-  /// The endpoint answers a renewal that is sent now.
-  void Hold(const std::string& id, std::vector<ActiveRun> active, std::vector<EndedRun> ended,
-            std::int64_t born_ms = 1) {
-    const HoldPlan plan = this->scheduler.PlanHold(id, this->now);
+  /// Sends a renewal to the endpoint, which answers 1 ms later.
+  void AnswerRenewal(const std::string& id, std::vector<ActiveRun> active,
+                     std::vector<EndedRun> ended, std::int64_t born_ms = 1) {
+    const RenewalPlan plan = this->scheduler.PlanRenewal(id, this->now);
     HoldReport report;
     report.born_ms = born_ms;
     report.clock_ms =
         std::chrono::duration_cast<std::chrono::milliseconds>(this->now.time_since_epoch()).count();
     report.active = std::move(active);
     report.ended = std::move(ended);
-    this->last_hold = plan.order;
+    this->last_renewal = plan.order;
     const TimePoint sent = this->now;
-    this->Pass(std::chrono::milliseconds(1));
-    this->scheduler.OnHeld(plan.order, report, sent, this->now);
+    this->AdvanceTime(std::chrono::milliseconds(1));
+    this->scheduler.OnRenewalAnswered(plan.order, report, sent, this->now);
   }
 
-  /// Decides, stores, and gives all orders that came of it.
+  /// Decides and stores, and returns all resulting orders.
   Orders Round() {
     Orders orders = this->Decide();
     Orders confirmed = this->Store();
@@ -96,7 +96,7 @@
   }
 
   Orders Decide() {
-    this->Pass(std::chrono::milliseconds(1));
+    this->AdvanceTime(std::chrono::milliseconds(1));
     return this->scheduler.Decide(this->now, WallTime(this->now.time_since_epoch()));
   }
 
@@ -118,13 +118,13 @@
     return this->scheduler.ConfirmBatch(this->now);
   }
 
-  /// A round whose starts are all carried out.
+  /// Runs a round and confirms all its starts.
   std::vector<StartOrder> StartAll() {
     std::vector<StartOrder> starts = this->Round().starts;
     for (const StartOrder& start : starts) {
       this->scheduler.OnStartAnswered(start, OrderOutcome::kDone, this->now);
     }
-    this->Pass(std::chrono::milliseconds(1));
+    this->AdvanceTime(std::chrono::milliseconds(1));
     return starts;
   }
 
@@ -150,7 +150,7 @@
   std::map<JobId, std::string> stored;
   /// Lapse notices by endpoint.
   std::map<std::string, std::string> lapses;
-  HoldOrder last_hold;
+  HoldOrder last_renewal;
 };
 
 }  // namespace chervilspar::jobs
