--- a/include/chervilspar/jobs/job.h
+++ b/include/chervilspar/jobs/job.h
@@ -65,7 +65,7 @@
   /// The tasks work only while all of them run together, and end together.
   bool is_gang = false;
   /// The tasks are slowed down when they run on more than one rack.
-  bool wants_one_rack = false;
+  bool prefers_one_rack = false;
   /// A label that the endpoint must have; empty for any.
   std::string required_label;
   /// The rack that holds the data; other racks are slower. Empty for any.
@@ -73,7 +73,7 @@
   /// Most tasks of one occurrence of the step on one endpoint; 0 for no limit.
   std::uint32_t max_per_endpoint = 0;
   /// Copies of a task may run side by side.
-  bool may_run_twice = false;
+  bool allows_duplicate_runs = false;
   /// Tasks run until the job is cancelled and are restarted however they end.
   bool is_long_running = false;
   /// Names what the tasks run; tasks of one image behave alike.
@@ -106,7 +106,7 @@
   std::int64_t first_due_ms = 0;
   std::int64_t interval_ms = 0;
   /// When the entry took the job, in Unix milliseconds.
-  std::int64_t taken_ms = 0;
+  std::int64_t accepted_ms = 0;
 
   std::uint32_t Occurrences() const { return this->repeats == 0 ? 1 : this->repeats; }
   bool IsScheduled() const { return this->repeats > 0; }
@@ -123,7 +123,7 @@
 inline constexpr std::uint32_t kMaxTasks = 3000;
 
 /// A job's steps in a few characters, for logs: "6x3500m900ms 2x500m100ms<0".
-std::string ShapeText(const Job& job);
+std::string DescribeShape(const Job& job);
 
 /// Says what is wrong with a job: the field and the cause.
 Status CheckJob(const Job& job);
@@ -134,7 +134,7 @@
 
 /// Reads the body of a submission in the product's own interface: the fields of the stored form
 /// that are the caller's to say. Names the field that is wrong.
-Result<Job> ReadJobBody(std::string_view text);
+Result<Job> ParseJobBody(std::string_view text);
 
 }  // namespace chervilspar::jobs
 
--- a/include/chervilspar/jobs/overload_plan.h
+++ b/include/chervilspar/jobs/overload_plan.h
@@ -36,8 +36,8 @@
  public:
   /// `jobs` in the order of their slack. `cpu`: thousandths of a core that the pool can give them.
   /// `weights`: a team without one counts as 1.
-  static std::set<JobId> GiveUp(const std::vector<UrgentJob>& jobs, double cpu,
-                                const std::map<TeamId, double>& weights);
+  static std::set<JobId> SelectJobsToAbandon(const std::vector<UrgentJob>& jobs, double cpu,
+                                             const std::map<TeamId, double>& weights);
 };
 
 }  // namespace chervilspar::jobs
--- a/include/chervilspar/jobs/pool_sizer.h
+++ b/include/chervilspar/jobs/pool_sizer.h
@@ -34,7 +34,7 @@
   /// What waits for an endpoint or for earlier steps, in any order.
   std::vector<WaitingWork> waiting;
   /// What all that waits and runs would take if it ran at once.
-  double at_once = 0;
+  double concurrent_demand = 0;
   /// Estimated work that is still to be done of what runs, long-running tasks left out; in the unit
   /// of `arrived`.
   double running = 0;
@@ -53,7 +53,7 @@
   /// How many jobs came since the scheduler began; only grows.
   double arrived_jobs = 0;
   /// The most endpoints that one step needs, as only so many of its tasks may share one.
-  int least_endpoints = 0;
+  int min_endpoints = 0;
   /// Long-running tasks that wait for an endpoint, or should leave theirs and find no other.
   int waiting_long_running = 0;
 
@@ -80,13 +80,13 @@
   /// Its zone gets no new work.
   bool is_cordoned = false;
   /// Taken by a wave or on its way between pools; not to be touched.
-  bool is_taken = false;
+  bool is_pinned = false;
 
   friend bool operator==(const SizerVm&, const SizerVm&) = default;
 };
 
 /// What is to be done with VMs now.
-struct SizerStep {
+struct SizerPlan {
   struct Move {
     VmId vm;
     ServiceId to;
@@ -97,7 +97,7 @@
   /// Get no new work, so that they become empty and can be moved.
   std::set<VmId> release;
 
-  friend bool operator==(const SizerStep&, const SizerStep&) = default;
+  friend bool operator==(const SizerPlan&, const SizerPlan&) = default;
 };
 
 /// Times and weights of the sizer.
@@ -109,38 +109,38 @@
   /// when a whole endpoint's worth of room is found.
   double slack_share = 0.6;
   /// A VM is ordered for work that can still be on time if it has at least this long for it.
-  Duration least_use = std::chrono::milliseconds(300);
+  Duration min_use_time = std::chrono::milliseconds(300);
   /// Over how many jobs the work of one is averaged.
   double jobs_averaged = 20;
   /// Over which arrivals are averaged. Shorter, a few jobs that come together look like a peak;
   /// longer, VMs come when the peak's first jobs are already late.
-  Duration averaging = std::chrono::milliseconds(350);
-  /// The longer average that shows whether demand rises, in terms of `averaging`.
-  double slow_averaging = 3;
+  Duration averaging_time = std::chrono::milliseconds(350);
+  /// The longer average that shows whether demand rises, in terms of `averaging_time`.
+  double slow_averaging_factor = 3;
   /// How far a rise is continued, in terms of the difference of the two averages.
-  double trend = 4;
+  double trend_gain = 4;
   /// Of a rise, so many standard deviations of what chance alone would show are left out.
-  double noise = 0.5;
+  double trend_threshold_std_devs = 0.5;
   /// With this many jobs in the average, half of what the average shows is believed.
-  double doubt = 1;
+  double half_confidence_jobs = 1;
   /// How long a pool keeps what it needed, unless another pool lacks VMs. One that is switched off
   /// and returns costs two moves and is paid for on its way: as much as five seconds of its price.
-  Duration keep = std::chrono::milliseconds(2000);
+  Duration shrink_delay = std::chrono::milliseconds(2000);
   /// Long-running tasks that have waited this long find no room in their pool, whatever the reason:
   /// labels, the endpoints that their siblings are on, or memory in too small pieces. The pool gets
   /// a VM more for each of them, and again when these have had time to come.
-  Duration blocked = std::chrono::milliseconds(700);
+  Duration blocked_task_delay = std::chrono::milliseconds(700);
   /// Part of a VM's cpu and memory that is counted on: tasks don't fill them to the last, and
   /// declared run times tend to be short.
-  double usable = 0.75;
+  double usable_fraction = 0.75;
   /// Whether an idle VM that its pool still keeps goes to one that lacks VMs.
-  bool lends = true;
+  bool lends_idle_vms = true;
   /// Whether VMs that only run late work are lent as well.
-  bool late_gives_way = true;
+  bool late_work_yields = true;
   /// Whether VMs of zones that can't be reached are left out.
-  bool avoids_dark_zones = true;
+  bool avoids_unreachable_zones = true;
   /// Fewest VMs of a pool: the loss of one leaves others to go on.
-  int least_vms = 3;
+  int min_vms = 3;
 
   friend bool operator==(const SizerOptions&, const SizerOptions&) = default;
 };
@@ -155,10 +155,10 @@
   explicit PoolSizer(SizerOptions options = {}) : options(options) {}
 
   /// `standby`: the pool whose VMs are switched off; empty when there is none.
-  SizerStep Plan(TimePoint now, const std::map<ServiceId, PoolLoad>& loads,
+  SizerPlan Plan(TimePoint now, const std::map<ServiceId, PoolLoad>& loads,
                  const std::vector<SizerVm>& vms, const ServiceId& standby);
   /// VMs that a pool should have, as last planned.
-  int Wanted(const ServiceId& pool) const;
+  int TargetSize(const ServiceId& pool) const;
 
  private:
   /// Work of one job, averaged.
@@ -208,7 +208,7 @@
                                        const std::vector<SizerVm>& vms, const ServiceId& standby);
   void ReleaseFrom(const ServiceId& pool, const std::vector<SizerVm>& vms, int all_missing,
                    Supply& supply, std::set<VmId>& released) const;
-  static void Share(std::map<ServiceId, int>& missing, Supply& supply, SizerStep& step);
+  static void Share(std::map<ServiceId, int>& missing, Supply& supply, SizerPlan& step);
   void Measure(TimePoint now, const std::map<ServiceId, PoolLoad>& loads);
   void MeasureWork(double jobs, double arrived, JobWork& work) const;
   /// How many jobs arrive in a millisecond, by those that came lately and how their number rises.
--- a/include/chervilspar/jobs/upkeep.h
+++ b/include/chervilspar/jobs/upkeep.h
@@ -30,12 +30,12 @@
   friend bool operator==(const VmRecord&, const VmRecord&) = default;
 };
 
-/// Operators ask that each of these VMs is rebooted by a time, at most `most_down` at once.
+/// Operators ask that each of these VMs is rebooted by a time, at most `max_down` at once.
 struct Wave {
   std::uint64_t number = 0;
   std::vector<VmId> vms;
   Duration deadline{};
-  std::uint32_t most_down = 1;
+  std::uint32_t max_down = 1;
 
   friend bool operator==(const Wave&, const Wave&) = default;
 };
@@ -67,7 +67,7 @@
   /// The wave doesn't name the VM, or there is no such VM or pool.
   kNotAllowed,
   /// Too many calls; nothing was done.
-  kTooMany,
+  kRateLimited,
   /// It did not leave this entry; nothing was done.
   kNotSent,
   /// It may be carried out, also later.
@@ -81,7 +81,7 @@
   std::uint64_t number = 0;
   std::set<VmId> rebooted;
   /// Operators have been told that it is under way.
-  bool is_told = false;
+  bool is_reported = false;
   /// They have been told that it is complete.
   bool is_complete = false;
 
@@ -92,7 +92,7 @@
 Result<WaveProgress> DecodeWaveProgress(std::string_view text);
 
 /// What the planner wants done now.
-struct UpkeepStep {
+struct UpkeepPlan {
   /// Endpoints that get no new work and are emptied.
   std::vector<std::string> evacuate;
   /// VMs that are empty and may go down now.
@@ -102,7 +102,7 @@
   /// The reboots of all VMs of the wave have begun.
   bool is_complete = false;
 
-  friend bool operator==(const UpkeepStep&, const UpkeepStep&) = default;
+  friend bool operator==(const UpkeepPlan&, const UpkeepPlan&) = default;
 };
 
 /// What the planner knows of a VM's endpoint.
@@ -124,7 +124,7 @@
 class UpkeepPlanner {
  public:
   /// VMs that can't be chosen now.
-  struct Absent {
+  struct UnavailableVms {
     /// Ordered to reboot and not known to be up again.
     std::set<VmId> down;
     /// On their way between pools.
@@ -132,8 +132,8 @@
     /// Their reboot was refused a moment ago.
     std::set<VmId> refused;
   };
-  static UpkeepStep Plan(const Wave& wave, const WaveProgress& progress,
-                         const std::vector<VmRecord>& vms, const Absent& absent,
+  static UpkeepPlan Plan(const Wave& wave, const WaveProgress& progress,
+                         const std::vector<VmRecord>& vms, const UnavailableVms& absent,
                          const std::set<VmId>& evacuating,
                          const std::map<std::string, EndpointLoad>& loads);
 };
--- a/src/job_entry/caller_handler.cc
+++ b/src/job_entry/caller_handler.cc
@@ -102,9 +102,9 @@
   job.queue = std::move(queue);
   job.service = std::move(service);
   job.team = std::move(team);
-  job.taken_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
-                     this->context.clock.WallNow().time_since_epoch())
-                     .count();
+  job.accepted_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
+                        this->context.clock.WallNow().time_since_epoch())
+                        .count();
   if (const Status status = jobs::CheckJob(job); !status) {
     this->Count("submit", 400);
     co_return http::ErrorResponse(400, "invalid_argument", ToString(status.LastReason()));
@@ -123,7 +123,7 @@
     case WriteVerdict::kStored:
       this->Count("submit", 200);
       LogEvent(telemetry::LogLevel::kInfo, "job_accepted", "stored",
-               {{"queue", job.queue}, {"team", job.team.text}, {"shape", jobs::ShapeText(job)}},
+               {{"queue", job.queue}, {"team", job.team.text}, {"shape", jobs::DescribeShape(job)}},
                id);
       co_return format.Accepted();
     case WriteVerdict::kNotStored:
--- a/src/job_entry/own_callers.cc
+++ b/src/job_entry/own_callers.cc
@@ -50,7 +50,7 @@
 }
 
 Result<jobs::Job> OwnCallers::ReadJob(const http::Request& request) const {
-  return jobs::ReadJobBody(request.body);
+  return jobs::ParseJobBody(request.body);
 }
 
 http::Response OwnCallers::Accepted() const { return JsonAnswer({}); }
--- a/src/job_entry/pool_sizes_log.cc
+++ b/src/job_entry/pool_sizes_log.cc
@@ -18,7 +18,7 @@
   for (const auto& [pool, count] : sizes) {
     const char* const gap = text.empty() ? "" : " ";
     text += gap + pool.text + "=" + std::to_string(count) + "/" +
-            std::to_string(this->sizer.Wanted(pool));
+            std::to_string(this->sizer.TargetSize(pool));
     use += gap + pool.text + "=" + this->UseText(pool);
   }
   if (text == this->last) {
--- a/src/job_entry/vm_driver.cc
+++ b/src/job_entry/vm_driver.cc
@@ -208,7 +208,7 @@
                                           std::set<std::string>& due) {
   jobs::WaveProgress& progress = this->waves[wave.number];
   progress.number = wave.number;
-  jobs::UpkeepPlanner::Absent absent;
+  jobs::UpkeepPlanner::UnavailableVms absent;
   for (const auto& [vm, until] : this->down) {
     absent.down.insert(vm);
   }
@@ -220,10 +220,10 @@
       absent.refused.insert(vm);
     }
   }
-  const jobs::UpkeepStep step =
+  const jobs::UpkeepPlan step =
       jobs::UpkeepPlanner::Plan(wave, progress, this->vms, absent, this->evacuating, this->Loads());
   due.insert(step.due.begin(), step.due.end());
-  if (!progress.is_told || step.is_complete) {
+  if (!progress.is_reported || step.is_complete) {
     co_await this->Tell(wave, progress, step.is_complete);
   }
   for (const jobs::VmRecord& vm : this->vms) {
@@ -274,7 +274,7 @@
     case VmOrderOutcome::kTokenTooLow:
       this->is_stopped = true;
       break;
-    case VmOrderOutcome::kTooMany:
+    case VmOrderOutcome::kRateLimited:
       this->budget.OnRefused(this->context.Now());
       this->down.erase(vm);
       break;
@@ -314,11 +314,11 @@
   records.push_back(this->context.links.records->WriteWaveStatus(wave, is_complete));
   const AppendOutcome outcome = co_await this->context.links.store->Append(
       Topic::kStatus, 0, std::move(records), std::nullopt, kStatusTimeout);
-  const bool is_told = outcome.kind == AppendOutcome::Kind::kStored;
-  if (!is_told) {
+  const bool is_reported = outcome.kind == AppendOutcome::Kind::kStored;
+  if (!is_reported) {
     co_return;  // told again with the next round
   }
-  progress.is_told = true;
+  progress.is_reported = true;
   progress.is_complete = is_complete;
   this->changed.insert(wave.number);
   LogEvent(telemetry::LogLevel::kInfo, "wave_told",
@@ -351,8 +351,8 @@
       sized.has_long_running = use->has_long_running;
       sized.is_serving = use->is_serving && !is_kept;
     }
-    sized.is_taken = is_kept || this->IsRegistering(vm) || move != this->moving.end() ||
-                     vm.phase != jobs::VmPhase::kUp;
+    sized.is_pinned = is_kept || this->IsRegistering(vm) || move != this->moving.end() ||
+                      vm.phase != jobs::VmPhase::kUp;
     out.push_back(std::move(sized));
   }
   return out;
@@ -373,14 +373,14 @@
   const std::shared_ptr<const jobs::Policy> policy = this->operators.Policy();
   const ServiceId standby = policy->standby.empty() ? ServiceId{} : *policy->standby.begin();
   const std::vector<jobs::SizerVm> sized = this->SizerVms();
-  const jobs::SizerStep step =
+  const jobs::SizerPlan step =
       this->sizer.Plan(this->context.Now(), this->scheduler.PoolLoads(), sized, standby);
   if (!may_order) {
     return;
   }
   this->sizes_log.Tell(sized, standby);
   this->SetReleased(step.release);
-  for (const jobs::SizerStep::Move& move : step.moves) {
+  for (const jobs::SizerPlan::Move& move : step.moves) {
     const bool may_move = !this->is_stopped && !this->refused.contains({move.vm, move.to});
     if (may_move && this->budget.Take(this->context.Now())) {
       this->moving[move.vm] = {move.to, this->context.Now()};
@@ -409,7 +409,7 @@
     case VmOrderOutcome::kTokenTooLow:
       this->is_stopped = true;
       break;
-    case VmOrderOutcome::kTooMany:
+    case VmOrderOutcome::kRateLimited:
       this->budget.OnRefused(this->context.Now());
       this->moving.erase(vm);
       break;
--- a/src/jobs/job.cc
+++ b/src/jobs/job.cc
@@ -77,7 +77,7 @@
                      [](const Step& step) { return step.is_long_running; });
 }
 
-std::string ShapeText(const Job& job) {
+std::string DescribeShape(const Job& job) {
   std::string text;
   for (const Step& step : job.steps) {
     text += text.empty() ? "" : " ";
--- a/src/jobs/job_codec.cc
+++ b/src/jobs/job_codec.cc
@@ -19,11 +19,11 @@
   }
   PutUnlessDefault(out, "saves", step.saves_progress);
   PutUnlessDefault(out, "gang", step.is_gang);
-  PutUnlessDefault(out, "one_rack", step.wants_one_rack);
+  PutUnlessDefault(out, "one_rack", step.prefers_one_rack);
   PutUnlessDefault(out, "label", step.required_label);
   PutUnlessDefault(out, "data_rack", step.data_rack);
   PutUnlessDefault(out, "per_endpoint", step.max_per_endpoint);
-  PutUnlessDefault(out, "twice", step.may_run_twice);
+  PutUnlessDefault(out, "twice", step.allows_duplicate_runs);
   PutUnlessDefault(out, "long_running", step.is_long_running);
   PutUnlessDefault(out, "image", step.image);
   PutUnlessDefault(out, "target_ms", step.target_ms);
@@ -47,11 +47,11 @@
   }
   step.saves_progress = FlagOf(in, "saves");
   step.is_gang = FlagOf(in, "gang");
-  step.wants_one_rack = FlagOf(in, "one_rack");
+  step.prefers_one_rack = FlagOf(in, "one_rack");
   step.required_label = TextOf(in, "label");
   step.data_rack = TextOf(in, "data_rack");
   step.max_per_endpoint = NumberOf<std::uint32_t>(in, "per_endpoint");
-  step.may_run_twice = FlagOf(in, "twice");
+  step.allows_duplicate_runs = FlagOf(in, "twice");
   step.is_long_running = FlagOf(in, "long_running");
   step.image = TextOf(in, "image");
   step.target_ms = NumberOf<std::int64_t>(in, "target_ms");
@@ -67,7 +67,7 @@
 std::string EncodeJob(const Job& job) {
   json::object out{{"id", ToString(job.id)},      {"queue", job.queue},
                    {"service", job.service.text}, {"team", job.team.text},
-                   {"payload", job.payload},      {"taken_ms", job.taken_ms}};
+                   {"payload", job.payload},      {"taken_ms", job.accepted_ms}};
   json::array steps;
   for (const Step& step : job.steps) {
     steps.push_back(EncodeStep(step));
@@ -81,7 +81,7 @@
   return json::serialize(out);
 }
 
-Result<Job> ReadJobBody(std::string_view text) {
+Result<Job> ParseJobBody(std::string_view text) {
   boost::system::error_code error;
   const json::value value = json::parse(text, error);
   if (error || !value.is_object()) {
@@ -125,7 +125,7 @@
     job.service = ServiceId{TextOf(in, "service")};
     job.team = TeamId{TextOf(in, "team")};
     job.payload = TextOf(in, "payload");
-    job.taken_ms = NumberOf<std::int64_t>(in, "taken_ms");
+    job.accepted_ms = NumberOf<std::int64_t>(in, "taken_ms");
     job.repeats = NumberOf<std::uint32_t>(in, "repeats");
     job.first_due_ms = NumberOf<std::int64_t>(in, "first_due_ms");
     job.interval_ms = NumberOf<std::int64_t>(in, "interval_ms");
--- a/src/jobs/overload_plan.cc
+++ b/src/jobs/overload_plan.cc
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-std::set<JobId> OverloadPlan::GiveUp(const std::vector<UrgentJob>& jobs, double cpu,
-                                     const std::map<TeamId, double>& weights) {
+std::set<JobId> OverloadPlan::SelectJobsToAbandon(const std::vector<UrgentJob>& jobs, double cpu,
+                                                  const std::map<TeamId, double>& weights) {
   std::set<JobId> given_up;
   std::map<TeamId, TeamPart> teams;
   double kept = 0;
--- a/src/jobs/placing_round.cc
+++ b/src/jobs/placing_round.cc
@@ -111,7 +111,7 @@
   for (const auto& [id, team] : this->state.policy.teams) {
     weights[id] = team.weight;
   }
-  for (const JobId& id : OverloadPlan::GiveUp(urgent, std::max(cpu, 0.0), weights)) {
+  for (const JobId& id : OverloadPlan::SelectJobsToAbandon(urgent, std::max(cpu, 0.0), weights)) {
     this->state.FindJob(id)->is_given_up = true;
   }
 }
@@ -246,10 +246,10 @@
   for (Task& member : first.step->tasks) {
     member.progress.checkpoint = checkpoint;
   }
-  if (first.spec->wants_one_rack && this->PlaceOnOneRack(first, run + 1)) {
+  if (first.spec->prefers_one_rack && this->PlaceOnOneRack(first, run + 1)) {
     return true;
   }
-  const bool may_spread = !first.spec->wants_one_rack ||
+  const bool may_spread = !first.spec->prefers_one_rack ||
                           (first.job->ready && first.job->ready->latest_start_ms < this->wall_ms);
   return may_spread && this->PlaceMembers(first, run + 1, this->reserved);
 }
--- a/src/jobs/pool_sizer.cc
+++ b/src/jobs/pool_sizer.cc
@@ -24,7 +24,7 @@
 std::vector<const SizerVm*> Releasable(const std::vector<SizerVm>& vms, const ServiceId& pool) {
   std::vector<const SizerVm*> found;
   for (const SizerVm& vm : vms) {
-    if (vm.pool == pool && vm.is_serving && !vm.has_long_running && !vm.is_taken) {
+    if (vm.pool == pool && vm.is_serving && !vm.has_long_running && !vm.is_pinned) {
       found.push_back(&vm);
     }
   }
@@ -43,16 +43,16 @@
   }
   std::vector<SizerVm> seen = vms;
   for (SizerVm& vm : seen) {
-    const bool is_dark = this->options.avoids_dark_zones && answering[vm.zone] < 0;
+    const bool is_dark = this->options.avoids_unreachable_zones && answering[vm.zone] < 0;
     if (is_dark || vm.is_cordoned) {
       vm.is_serving = false;
-      vm.is_taken = true;
+      vm.is_pinned = true;
     }
   }
   return seen;
 }
 
-int PoolSizer::Wanted(const ServiceId& pool) const {
+int PoolSizer::TargetSize(const ServiceId& pool) const {
   const auto found = this->pools.find(pool);
   return found == this->pools.end() ? 0 : found->second.wanted;
 }
@@ -63,10 +63,10 @@
     const double passed = Milliseconds(now - history.measured);
     if (history.is_known && passed > 0) {
       const double came = load.arrived_jobs - history.arrived_jobs;
-      const double kept = std::exp(-passed / Milliseconds(this->options.averaging));
+      const double kept = std::exp(-passed / Milliseconds(this->options.averaging_time));
       history.job_rate += (1.0 - kept) * (came / passed - history.job_rate);
-      const double kept_longer =
-          std::exp(-passed / Milliseconds(this->options.averaging) / this->options.slow_averaging);
+      const double kept_longer = std::exp(-passed / Milliseconds(this->options.averaging_time) /
+                                          this->options.slow_averaging_factor);
       history.slow_job_rate += (1.0 - kept_longer) * (came / passed - history.slow_job_rate);
       history.recent_jobs = kept * history.recent_jobs + came;
       this->MeasureWork(came, load.cpu.arrived, history.cpu);
@@ -91,18 +91,19 @@
 
 double PoolSizer::ExpectedJobs(const History& history) const {
   const double chance =
-      std::sqrt(history.slow_job_rate / (2 * Milliseconds(this->options.averaging)));
-  const double rise =
-      std::max(0.0, history.job_rate - history.slow_job_rate - this->options.noise * chance);
-  const double belief = history.recent_jobs / (history.recent_jobs + this->options.doubt);
-  return belief * (history.job_rate + this->options.trend * rise);
+      std::sqrt(history.slow_job_rate / (2 * Milliseconds(this->options.averaging_time)));
+  const double rise = std::max(0.0, history.job_rate - history.slow_job_rate -
+                                        this->options.trend_threshold_std_devs * chance);
+  const double belief =
+      history.recent_jobs / (history.recent_jobs + this->options.half_confidence_jobs);
+  return belief * (history.job_rate + this->options.trend_gain * rise);
 }
 
 double PoolSizer::ForBacklog(const ResourceLoad& load, double running, double free) const {
   std::vector<WaitingWork> waiting = load.waiting;
   std::sort(waiting.begin(), waiting.end());
   const double move = Milliseconds(this->options.move_time);
-  const double least = Milliseconds(this->options.least_use);
+  const double least = Milliseconds(this->options.min_use_time);
   double due = running;
   // What would do if it were there now, and what has to come in addition to what is there.
   double at_least = 0;
@@ -118,7 +119,7 @@
       more = std::max(more, (due - free * span) / (span - move));
     }
   }
-  return std::min(std::min(at_least, free) + more, load.at_once);
+  return std::min(std::min(at_least, free) + more, load.concurrent_demand);
 }
 
 PoolSizer::Need PoolSizer::NeedFor(const ResourceLoad& load, double arriving, const ServiceId& pool,
@@ -126,9 +127,9 @@
   double there = 0;
   double of_one = 0;
   for (const SizerVm& vm : vms) {
-    const double usable = vm.*amount * this->options.usable;
-    there += vm.pool == pool && vm.is_serving ? usable : 0;
-    of_one = std::max(of_one, usable);
+    const double usable_fraction = vm.*amount * this->options.usable_fraction;
+    there += vm.pool == pool && vm.is_serving ? usable_fraction : 0;
+    of_one = std::max(of_one, usable_fraction);
   }
   if (of_one <= 0) {
     return {};
@@ -155,14 +156,14 @@
   const Need cpu = this->NeedFor(load.cpu, jobs * history.cpu.of_one, pool, vms, &SizerVm::cpu);
   const Need memory =
       this->NeedFor(load.memory, jobs * history.memory.of_one, pool, vms, &SizerVm::memory);
-  const int least = std::max(this->options.least_vms, load.least_endpoints);
+  const int least = std::max(this->options.min_vms, load.min_endpoints);
   history.needed_on_time = std::max({least, cpu.on_time, memory.on_time});
   int wanted = std::max({least, cpu.all, memory.all});
   if (load.waiting_long_running == 0) {
     history.waiting_since.reset();
   } else if (!history.waiting_since) {
     history.waiting_since = now;
-  } else if (now - *history.waiting_since > this->options.blocked) {
+  } else if (now - *history.waiting_since > this->options.blocked_task_delay) {
     wanted = std::max(wanted, Serving(vms, pool) + load.waiting_long_running);
     history.waiting_since = now + this->options.move_time;
   }
@@ -172,7 +173,7 @@
     history.wanted = Serving(vms, pool);
     history.wanted_at = now;
   }
-  if (wanted >= history.wanted || now - history.wanted_at > this->options.keep) {
+  if (wanted >= history.wanted || now - history.wanted_at > this->options.shrink_delay) {
     history.wanted = wanted;
     history.wanted_at = now;
   }
@@ -202,11 +203,12 @@
   const int serving = Serving(vms, pool);
   const int unwanted = serving - history.wanted;
   // Others' jobs that can still be on time go before what is late here.
-  const int needed = this->options.late_gives_way ? std::min(history.needed, history.needed_on_time)
-                                                  : history.needed;
+  const int needed = this->options.late_work_yields
+                         ? std::min(history.needed, history.needed_on_time)
+                         : history.needed;
   const int unneeded = serving - needed;
   const std::vector<const SizerVm*> releasable = Releasable(vms, pool);
-  const int lendable = this->options.lends ? std::min(unneeded, all_missing) : 0;
+  const int lendable = this->options.lends_idle_vms ? std::min(unneeded, all_missing) : 0;
   const int most = std::max(unwanted, lendable);
   for (int i = 0; i < most && i < static_cast<int>(releasable.size()); ++i) {
     released.insert(releasable[i]->id);
@@ -229,7 +231,7 @@
 
 /// What can go wrong: one pool lacks hundreds of VMs for its peak, takes all that there are, and a
 /// task that serves users waits in another for the one VM that it needs. So the pools take turns.
-void PoolSizer::Share(std::map<ServiceId, int>& missing, Supply& supply, SizerStep& step) {
+void PoolSizer::Share(std::map<ServiceId, int>& missing, Supply& supply, SizerPlan& step) {
   while (!missing.empty()) {
     for (auto pool = missing.begin(); pool != missing.end();) {
       const SizerVm* vm = supply.Take();
@@ -242,7 +244,7 @@
   }
 }
 
-SizerStep PoolSizer::Plan(TimePoint now, const std::map<ServiceId, PoolLoad>& loads,
+SizerPlan PoolSizer::Plan(TimePoint now, const std::map<ServiceId, PoolLoad>& loads,
                           const std::vector<SizerVm>& all_vms, const ServiceId& standby) {
   const std::vector<SizerVm> vms = this->WithoutUnusableZones(all_vms);
   this->Measure(now, loads);
@@ -251,7 +253,7 @@
   for (const auto& [pool, lacks] : missing) {
     all_missing += lacks;
   }
-  SizerStep step;
+  SizerPlan step;
   Supply supply;
   for (const auto& [pool, load] : loads) {
     if (pool != standby && !missing.contains(pool)) {
@@ -259,7 +261,7 @@
     }
   }
   for (const SizerVm& vm : vms) {
-    if (vm.pool == standby && !vm.is_taken && !standby.IsEmpty()) {
+    if (vm.pool == standby && !vm.is_pinned && !standby.IsEmpty()) {
       supply.off.push_back(&vm);
     }
   }
--- a/src/jobs/scheduler.cc
+++ b/src/jobs/scheduler.cc
@@ -324,7 +324,7 @@
                       id,
                       "",
                       std::string(ToString(job->Phase())) + " " +
-                          std::to_string(now_ms - job->job.taken_ms) +
+                          std::to_string(now_ms - job->job.accepted_ms) +
                           " ms after it was accepted, " +
                           (now_ms > job->deadline_ms ? "late by " : "in time by ") +
                           std::to_string(std::abs(now_ms - job->deadline_ms)) + " ms"});
--- a/src/jobs/scheduler_ready.cc
+++ b/src/jobs/scheduler_ready.cc
@@ -76,7 +76,7 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(queue->second.target).count();
   const std::int64_t objective =
       static_cast<std::int64_t>(queue->second.slack_factor * chain) + target;
-  const std::int64_t begin = job.job.IsScheduled() ? job.job.first_due_ms : job.job.taken_ms;
+  const std::int64_t begin = job.job.IsScheduled() ? job.job.first_due_ms : job.job.accepted_ms;
   job.deadline_ms = begin + objective;
   job.worthless_ms =
       begin + static_cast<std::int64_t>(this->options.late_factor * static_cast<double>(objective));
--- a/src/jobs/scheduler_state.cc
+++ b/src/jobs/scheduler_state.cc
@@ -300,7 +300,7 @@
               ref.key,
               {},
               endpoint.record.id,
-              std::to_string(this->wall_ms - job.job.taken_ms) + " ms after it was accepted, " +
+              std::to_string(this->wall_ms - job.job.accepted_ms) + " ms after it was accepted, " +
                   std::to_string(job.deadline_ms - this->wall_ms) +
                   " ms before it is late; first ordered " +
                   std::to_string(MillisecondsOf(now - *job.first_ordered)) + " ms before"});
--- a/src/jobs/scheduler_views.cc
+++ b/src/jobs/scheduler_views.cc
@@ -65,7 +65,7 @@
   const double running = left * amount * estimate_ms;
   load.running += running;
   load.running_late += is_late ? running : 0;
-  load.at_once += (count.claimed + (is_open ? count.waiting : 0)) * amount;
+  load.concurrent_demand += (count.claimed + (is_open ? count.waiting : 0)) * amount;
 }
 
 /// Some task of it has had a claim on an endpoint.
@@ -151,7 +151,7 @@
         if (spec.max_per_endpoint > 0 && !step.IsDone()) {
           const std::uint32_t most = spec.max_per_endpoint;
           const std::uint32_t endpoints = (spec.count + most - 1) / most;
-          load.least_endpoints = std::max(load.least_endpoints, static_cast<int>(endpoints));
+          load.min_endpoints = std::max(load.min_endpoints, static_cast<int>(endpoints));
         }
         if (!spec.is_long_running) {
           const std::int64_t latest = job->deadline_ms + begin_ms - chains[i];
--- a/src/jobs/upkeep.cc
+++ b/src/jobs/upkeep.cc
@@ -32,7 +32,7 @@
       return "busy";
     case VmOrderOutcome::kNotAllowed:
       return "not_allowed";
-    case VmOrderOutcome::kTooMany:
+    case VmOrderOutcome::kRateLimited:
       return "too_many";
     case VmOrderOutcome::kNotSent:
       return "not_sent";
@@ -42,11 +42,11 @@
   return "unknown";
 }
 
-UpkeepStep UpkeepPlanner::Plan(const Wave& wave, const WaveProgress& progress,
-                               const std::vector<VmRecord>& vms, const Absent& absent,
+UpkeepPlan UpkeepPlanner::Plan(const Wave& wave, const WaveProgress& progress,
+                               const std::vector<VmRecord>& vms, const UnavailableVms& absent,
                                const std::set<VmId>& evacuating,
                                const std::map<std::string, EndpointLoad>& loads) {
-  UpkeepStep step;
+  UpkeepPlan step;
   std::map<ServiceId, int> pool_size;
   std::map<ServiceId, int> pool_away;
   std::vector<Candidate> candidates;
@@ -85,7 +85,7 @@
   std::size_t away = down.size();
   for (const Candidate& candidate : candidates) {
     const VmRecord& vm = *candidate.vm;
-    if (away >= wave.most_down) {
+    if (away >= wave.max_down) {
       break;
     }
     const auto load = loads.find(vm.endpoint);
--- a/src/jobs/wave_progress.cc
+++ b/src/jobs/wave_progress.cc
@@ -14,7 +14,7 @@
     vms.emplace_back(vm.text);
   }
   return json::serialize(json::object{{"wave", progress.number},
-                                      {"told", progress.is_told},
+                                      {"told", progress.is_reported},
                                       {"complete", progress.is_complete},
                                       {"rebooted", std::move(vms)}});
 }
@@ -26,7 +26,7 @@
     const json::object& in = value.as_object();
     WaveProgress progress;
     progress.number = in.at("wave").to_number<std::uint64_t>();
-    progress.is_told = FlagOf(in, "told");
+    progress.is_reported = FlagOf(in, "told");
     progress.is_complete = FlagOf(in, "complete");
     if (const json::array* vms = ArrayOf(in, "rebooted")) {
       for (const json::value& vm : *vms) {
--- a/tests/job_entry/decision_options_test.cc
+++ b/tests/job_entry/decision_options_test.cc
@@ -42,7 +42,7 @@
 
 TEST(DecisionOptions, ChangeOnlyWhatIsNamed) {
   DecisionOptions expected;
-  expected.sizer.keep = std::chrono::seconds(3);
+  expected.sizer.shrink_delay = std::chrono::seconds(3);
   expected.scheduler.plans_overload = false;
   const Result<DecisionOptions> options =
       ParseDecisionOptions("sizer.keep=3s,scheduler.overload=off");
--- a/tests/job_entry/fake_fleet.cc
+++ b/tests/job_entry/fake_fleet.cc
@@ -48,7 +48,7 @@
   const bool is_second = value.starts_with("2:");
   wave.number = is_second ? 2 : 1;
   value.remove_prefix(is_second ? 2 : 0);
-  wave.most_down = 2;
+  wave.max_down = 2;
   while (!value.empty()) {
     const std::size_t comma = value.find(',');
     wave.vms.push_back(VmId{std::string(value.substr(0, comma))});
--- a/tests/job_entry/vm_driver_test.cc
+++ b/tests/job_entry/vm_driver_test.cc
@@ -146,16 +146,16 @@
 /// Guards against a wave that operators aren't told of, as a successor takes the predecessor's
 /// record of it for a sign that they were.
 TEST(VmDriver, ASuccessorTellsOfAWaveThatWasNotTold) {
-  for (const bool is_told : {false, true}) {
+  for (const bool is_reported : {false, true}) {
     DriverWorld world(1);
     world.fleet.vms.is_busy = true;
     jobs::WaveProgress progress;
     progress.number = 1;
-    progress.is_told = is_told;
+    progress.is_reported = is_reported;
     world.driver.Restore(progress);
     world.Start();
     world.RunUntil(std::chrono::seconds(3), [&] { return !world.fleet.vms.tokens.empty(); });
-    EXPECT_EQ(world.Told(), is_told ? "" : "running");
+    EXPECT_EQ(world.Told(), is_reported ? "" : "running");
   }
 }
 
--- a/tests/jobs/job_test.cc
+++ b/tests/jobs/job_test.cc
@@ -96,8 +96,8 @@
     step.estimate_ms = *rc::gen::inRange(0, 90000);
     step.saves_progress = *rc::gen::arbitrary<bool>();
     step.is_gang = *rc::gen::arbitrary<bool>();
-    step.wants_one_rack = *rc::gen::arbitrary<bool>();
-    step.may_run_twice = *rc::gen::arbitrary<bool>();
+    step.prefers_one_rack = *rc::gen::arbitrary<bool>();
+    step.allows_duplicate_runs = *rc::gen::arbitrary<bool>();
     step.is_long_running = *rc::gen::arbitrary<bool>();
     step.is_filler = *rc::gen::arbitrary<bool>();
     step.max_per_endpoint = *rc::gen::inRange<std::uint32_t>(0, 5);
@@ -120,7 +120,7 @@
   job.team = TeamId{"t"};
   job.payload = *rc::gen::container<std::string>(rc::gen::inRange<char>(' ', '~'));
   job.steps = *rc::gen::nonEmpty(rc::gen::container<std::vector<Step>>(AnyStep()));
-  job.taken_ms = *rc::gen::inRange<std::int64_t>(0, 1LL << 50);
+  job.accepted_ms = *rc::gen::inRange<std::int64_t>(0, 1LL << 50);
   for (std::uint32_t i = 1; i < job.steps.size(); ++i) {
     job.steps[i].after = {i - 1};
   }
--- a/tests/jobs/overload_plan_test.cc
+++ b/tests/jobs/overload_plan_test.cc
@@ -21,10 +21,12 @@
     });
   }
 
-  std::set<JobId> GiveUp() const { return OverloadPlan::GiveUp(this->jobs, 10000, this->weights); }
+  std::set<JobId> SelectJobsToAbandon() const {
+    return OverloadPlan::SelectJobsToAbandon(this->jobs, 10000, this->weights);
+  }
 
   int KeptOf(const std::string& team) const {
-    const std::set<JobId> given_up = this->GiveUp();
+    const std::set<JobId> given_up = this->SelectJobsToAbandon();
     return static_cast<int>(std::count_if(
         this->jobs.begin(), this->jobs.end(),
         [&](const auto& job) { return job.team.text == team && !given_up.contains(job.job); }));
@@ -53,7 +55,7 @@
 TEST(OverloadPlan, GivesUpNobodyWhenAllFit) {
   Overload world;
   world.Add("counter", 10, 2000, 2);
-  EXPECT_TRUE(world.GiveUp().empty());
+  EXPECT_TRUE(world.SelectJobsToAbandon().empty());
 }
 
 /// A burst of twice what the pool can do. Served in the order of their latest start, the first half
@@ -62,7 +64,7 @@
   Overload world;
   world.Add("counter", 20, 2000, 2);
   EXPECT_EQ(world.KeptOf("counter"), 10);
-  EXPECT_EQ(world.InTime(world.GiveUp()), 10);
+  EXPECT_EQ(world.InTime(world.SelectJobsToAbandon()), 10);
 }
 
 /// Large jobs at the front make every small one behind them late.
@@ -97,7 +99,7 @@
 TEST(OverloadPlan, GivesUpAllWithoutCpu) {
   Overload world;
   world.Add("counter", 3, 2000, 1);
-  EXPECT_EQ(OverloadPlan::GiveUp(world.jobs, 0, {}).size(), 3U);
+  EXPECT_EQ(OverloadPlan::SelectJobsToAbandon(world.jobs, 0, {}).size(), 3U);
 }
 
 }  // namespace
--- a/tests/jobs/pool_load_test.cc
+++ b/tests/jobs/pool_load_test.cc
@@ -30,7 +30,7 @@
   GetParam().happen(world, start);
   const ResourceLoad load = world.scheduler.PoolLoads().at(ServiceId{"desk"}).cpu;
   EXPECT_DOUBLE_EQ(load.running, GetParam().left);
-  EXPECT_DOUBLE_EQ(load.at_once, 1000.0);
+  EXPECT_DOUBLE_EQ(load.concurrent_demand, 1000.0);
 }
 
 INSTANTIATE_TEST_SUITE_P(Runs, LoadOfOneTask,
--- a/tests/jobs/pool_sizer_test.cc
+++ b/tests/jobs/pool_sizer_test.cc
@@ -37,8 +37,8 @@
   }
 
   /// Jobs of so many cores' work arrive for `span`; then one plan.
-  SizerStep After(Duration span, double desk_cores, double fleet_cores) {
-    SizerStep step;
+  SizerPlan After(Duration span, double desk_cores, double fleet_cores) {
+    SizerPlan step;
     const Duration tick = milliseconds(250);
     for (Duration passed{}; passed < span; passed += tick) {
       this->now += tick;
@@ -57,10 +57,10 @@
     this->loads[pool].arrived_jobs += work / kWorkOfOne;
   }
 
-  std::size_t MovesTo(const SizerStep& step, const ServiceId& pool) const {
+  std::size_t MovesTo(const SizerPlan& step, const ServiceId& pool) const {
     return static_cast<std::size_t>(
         std::count_if(step.moves.begin(), step.moves.end(),
-                      [&](const SizerStep::Move& move) { return move.to == pool; }));
+                      [&](const SizerPlan::Move& move) { return move.to == pool; }));
   }
 
   PoolSizer sizer;
@@ -82,7 +82,7 @@
 
 TEST_P(Demand, MovesVmsToWhereTheyAreNeeded) {
   SizerWorld world;
-  const SizerStep step =
+  const SizerPlan step =
       world.After(std::chrono::seconds(6), GetParam().desk_cores, GetParam().fleet_cores);
   EXPECT_EQ(world.MovesTo(step, kDesk), GetParam().to_desk);
   EXPECT_EQ(world.MovesTo(step, kOff), GetParam().to_standby);
@@ -100,8 +100,8 @@
 TEST(PoolSizer, LendsIdleVmsAtOnceToAPoolThatLacksThem) {
   SizerWorld world;
   world.After(std::chrono::seconds(4), 29, 0);
-  const SizerStep step = world.After(std::chrono::seconds(1), 0, 60);
-  EXPECT_EQ(world.sizer.Wanted(kDesk), 4);
+  const SizerPlan step = world.After(std::chrono::seconds(1), 0, 60);
+  EXPECT_EQ(world.sizer.TargetSize(kDesk), 4);
   EXPECT_EQ(world.MovesTo(step, kFleet), 3U);
   EXPECT_EQ(world.MovesTo(step, kOff), 0U);
 }
@@ -110,10 +110,10 @@
 /// the VMs that its predecessor brought.
 TEST(PoolSizer, KeepsTheSizesThatItFinds) {
   SizerWorld world;
-  const SizerStep step = world.After(milliseconds(750), 0, 0);
+  const SizerPlan step = world.After(milliseconds(750), 0, 0);
   EXPECT_TRUE(step.moves.empty());
   EXPECT_TRUE(step.release.empty());
-  EXPECT_EQ(world.sizer.Wanted(kDesk), 4);
+  EXPECT_EQ(world.sizer.TargetSize(kDesk), 4);
 }
 
 /// A queue that was idle gets thirty times its usual within a moment. The VMs have to be ordered
@@ -121,9 +121,9 @@
 TEST(PoolSizer, OrdersVmsWithinHalfASecondOfAPeaksBeginning) {
   SizerWorld world;
   world.After(std::chrono::seconds(6), 1, 1);
-  const SizerStep step = world.After(milliseconds(500), 50, 1);
+  const SizerPlan step = world.After(milliseconds(500), 50, 1);
   EXPECT_GE(world.MovesTo(step, kDesk), 2U);
-  EXPECT_GE(world.sizer.Wanted(kDesk), 6);
+  EXPECT_GE(world.sizer.TargetSize(kDesk), 6);
 }
 
 /// One large job comes to an idle queue. It can use ten cores at once; VMs for as many such jobs as
@@ -136,9 +136,9 @@
   load.cpu.arrived += 40 * 1000 * 1000;
   load.arrived_jobs += 1;
   load.cpu.waiting = {{2500, 40 * 1000 * 1000}};
-  load.cpu.at_once = 10 * 1000;
+  load.cpu.concurrent_demand = 10 * 1000;
   world.After(milliseconds(250), 0, 0);
-  EXPECT_LE(world.sizer.Wanted(kDesk), 13) << "a peak of this rate would need 49";
+  EXPECT_LE(world.sizer.TargetSize(kDesk), 13) << "a peak of this rate would need 49";
 }
 
 /// What waits in one pool of four VMs, each with 7.5 cores that are counted on.
@@ -161,9 +161,9 @@
   world.After(std::chrono::seconds(6), 0, 0);
   PoolLoad& load = world.loads[kDesk];
   load.cpu.waiting = {{GetParam().slack_ms, GetParam().work * 1000 * 1000}};
-  load.cpu.at_once = GetParam().at_once_cores * 1000;
+  load.cpu.concurrent_demand = GetParam().at_once_cores * 1000;
   world.After(milliseconds(250), 0, 0);
-  EXPECT_EQ(world.sizer.Wanted(kDesk), GetParam().wanted);
+  EXPECT_EQ(world.sizer.TargetSize(kDesk), GetParam().wanted);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -197,8 +197,8 @@
     vm.is_cordoned = GetParam().is_cordoned && is_east;
     vm.is_empty = vm.pool != kDesk;
   }
-  const SizerStep step = world.After(std::chrono::seconds(6), 60, 2);
-  const auto is_in_east = [](const SizerStep::Move& move) { return move.vm == VmId{"m8"}; };
+  const SizerPlan step = world.After(std::chrono::seconds(6), 60, 2);
+  const auto is_in_east = [](const SizerPlan::Move& move) { return move.vm == VmId{"m8"}; };
   EXPECT_EQ(std::none_of(step.moves.begin(), step.moves.end(), is_in_east), is_unusable);
   EXPECT_GE(world.MovesTo(step, kDesk), 1U);
 }
@@ -214,9 +214,9 @@
   SizerWorld world;
   for (SizerVm& vm : world.vms) {
     vm.has_long_running = vm.pool == kDesk;
-    vm.is_taken = vm.pool == kFleet;
+    vm.is_pinned = vm.pool == kFleet;
   }
-  const SizerStep step = world.After(std::chrono::seconds(6), 0, 0);
+  const SizerPlan step = world.After(std::chrono::seconds(6), 0, 0);
   EXPECT_TRUE(step.release.empty());
   EXPECT_TRUE(step.moves.empty());
 }
@@ -227,7 +227,7 @@
   for (SizerVm& vm : world.vms) {
     vm.is_empty = false;
   }
-  const SizerStep step = world.After(std::chrono::seconds(6), 0, 0);
+  const SizerPlan step = world.After(std::chrono::seconds(6), 0, 0);
   EXPECT_EQ(step.release.size(), 2U);
   EXPECT_TRUE(step.moves.empty());
 }
@@ -236,17 +236,17 @@
 /// and one that waits although there is cpu lacks something else, such as memory.
 TEST(PoolSizer, GrowsForLongRunningTasksThatFindNoEndpoint) {
   struct Case {
-    int least_endpoints;
+    int min_endpoints;
     int waiting;
     int wanted;
   };
   for (const Case& one : {Case{0, 0, 3}, Case{6, 0, 6}, Case{0, 1, 5}}) {
     SizerWorld world;
-    world.loads[kDesk].least_endpoints = one.least_endpoints;
+    world.loads[kDesk].min_endpoints = one.min_endpoints;
     world.loads[kDesk].waiting_long_running = one.waiting;
     // Long enough that the size which the sizer found at first no longer counts.
     world.After(std::chrono::seconds(5), 0, 0);
-    EXPECT_EQ(world.sizer.Wanted(kDesk), one.wanted) << one.least_endpoints;
+    EXPECT_EQ(world.sizer.TargetSize(kDesk), one.wanted) << one.min_endpoints;
   }
 }
 
@@ -260,15 +260,15 @@
   world.loads[kDesk].cpu.long_running = 10 * 1000;
   world.loads[kDesk].memory.long_running = 500;
   world.After(std::chrono::seconds(5), 0, 0);
-  EXPECT_EQ(world.sizer.Wanted(kDesk), 7);
+  EXPECT_EQ(world.sizer.TargetSize(kDesk), 7);
 }
 
 /// One pool lacks hundreds of VMs for its peak, another one for a task that serves users. Served by
 /// what they lack, the second waits until the first has all that there are.
 TEST(PoolSizer, APoolThatLacksOneVmIsNotStarved) {
   SizerWorld world;
-  world.loads[kFleet].least_endpoints = 5;
-  const SizerStep step = world.After(std::chrono::seconds(3), 200, 0);
+  world.loads[kFleet].min_endpoints = 5;
+  const SizerPlan step = world.After(std::chrono::seconds(3), 200, 0);
   EXPECT_EQ(world.MovesTo(step, kFleet), 1U);
   EXPECT_GE(world.MovesTo(step, kDesk), 1U);
 }
@@ -287,8 +287,8 @@
     fleet.running = 6 * 10 * 1000 * 1000;
     fleet.running_late = is_late ? fleet.running : 0;
     fleet.waiting = {{500, 1000}};
-    fleet.at_once = 6 * 10 * 1000;
-    const SizerStep step = world.After(std::chrono::seconds(3), 60, 0);
+    fleet.concurrent_demand = 6 * 10 * 1000;
+    const SizerPlan step = world.After(std::chrono::seconds(3), 60, 0);
     EXPECT_EQ(!step.release.empty(), is_late);
   }
 }
@@ -298,11 +298,11 @@
 TEST(PoolSizer, KeepsVmsThroughALull) {
   SizerWorld world;
   world.After(std::chrono::seconds(4), 28, 0);
-  const SizerStep step = world.After(milliseconds(750), 0, 0);
-  for (const SizerStep::Move& move : step.moves) {
+  const SizerPlan step = world.After(milliseconds(750), 0, 0);
+  for (const SizerPlan::Move& move : step.moves) {
     EXPECT_NE(move.vm.text.substr(0, 2), "m0");
   }
-  EXPECT_EQ(world.sizer.Wanted(kDesk), 4);
+  EXPECT_EQ(world.sizer.TargetSize(kDesk), 4);
 }
 
 }  // namespace
--- a/tests/jobs/scheduler_test.cc
+++ b/tests/jobs/scheduler_test.cc
@@ -69,7 +69,7 @@
         PlacementCase{"gang_on_one_rack",
                       [](Step& step) {
                         step.is_gang = true;
-                        step.wants_one_rack = true;
+                        step.prefers_one_rack = true;
                       },
                       4,
                       {"a"}}),
@@ -164,10 +164,10 @@
   World world;
   world.Register({World::Endpoint("a", 1)});
   Job late = World::MakeJob(1, {World::MakeStep(1)});
-  late.taken_ms = 0;
+  late.accepted_ms = 0;
   world.now = TimePoint{} + std::chrono::seconds(30);
   Job fresh = World::MakeJob(2, {World::MakeStep(1)});
-  fresh.taken_ms = 30000;
+  fresh.accepted_ms = 30000;
   world.scheduler.AddJob(late, Wall(world));
   world.scheduler.AddJob(fresh, Wall(world));
   world.Hold("a", {}, {});
@@ -190,10 +190,10 @@
   world.scheduler.AddJob(World::MakeJob(1, {apart}), Wall(world));
   EXPECT_EQ(world.StartAll().size(), 1U);
   const PoolLoad load = world.scheduler.PoolLoads().at(ServiceId{"desk"});
-  EXPECT_EQ(load.least_endpoints, 2);
+  EXPECT_EQ(load.min_endpoints, 2);
   EXPECT_EQ(load.waiting_long_running, 1);
   Job late = World::MakeJob(2, {World::MakeStep(1)});
-  late.taken_ms = 0;
+  late.accepted_ms = 0;
   world.scheduler.AddJob(late, Wall(world));
   EXPECT_EQ(world.StartAll().size(), 1U);
 }
--- a/tests/jobs/takeover_test.cc
+++ b/tests/jobs/takeover_test.cc
@@ -145,7 +145,7 @@
   World world{{}, 2};
   world.now = TimePoint{} + std::chrono::hours(1000);
   Job ended = this->job;
-  ended.taken_ms = ToMs(world.now) - 1000000;
+  ended.accepted_ms = ToMs(world.now) - 1000000;
   world.scheduler.AddJob(ended, WallTime(world.now.time_since_epoch()));
   JobProgress failed = this->progress;
   failed.phase = JobPhase::kFailed;
--- a/tests/jobs/upkeep_test.cc
+++ b/tests/jobs/upkeep_test.cc
@@ -12,7 +12,7 @@
  public:
   UpkeepWorld() {
     this->wave.number = 1;
-    this->wave.most_down = 2;
+    this->wave.max_down = 2;
     for (int i = 0; i < 8; ++i) {
       VmRecord vm;
       vm.id = VmId{"m" + std::to_string(i)};
@@ -25,7 +25,7 @@
     }
   }
 
-  UpkeepStep Plan() const {
+  UpkeepPlan Plan() const {
     return UpkeepPlanner::Plan(this->wave, this->progress, this->vms, this->absent,
                                this->evacuating, this->loads);
   }
@@ -33,7 +33,7 @@
   Wave wave;
   WaveProgress progress;
   std::vector<VmRecord> vms;
-  UpkeepPlanner::Absent absent;
+  UpkeepPlanner::UnavailableVms absent;
   std::set<VmId> evacuating;
   std::map<std::string, EndpointLoad> loads;
 };
@@ -51,7 +51,7 @@
 TEST_P(UpkeepTable, PlansWithinItsLimits) {
   UpkeepWorld world;
   GetParam().change(world);
-  const UpkeepStep step = world.Plan();
+  const UpkeepPlan step = world.Plan();
   EXPECT_EQ(step.evacuate.size(), GetParam().evacuated);
   EXPECT_EQ(step.reboot.size(), GetParam().rebooted);
   EXPECT_EQ(step.is_complete, GetParam().is_complete);
@@ -92,10 +92,10 @@
         UpkeepCase{"empty_but_not_yet_kept_free",
                    [](UpkeepWorld& world) { world.loads["i0"].is_empty = true; }, 2, 0, false},
         UpkeepCase{"a_wave_wider_than_a_quarter_of_the_pool",
-                   [](UpkeepWorld& world) { world.wave.most_down = 8; }, 2, 0, false},
+                   [](UpkeepWorld& world) { world.wave.max_down = 8; }, 2, 0, false},
         UpkeepCase{"switched_off",
                    [](UpkeepWorld& world) {
-                     world.wave.most_down = 8;
+                     world.wave.max_down = 8;
                      for (VmRecord& vm : world.vms) {
                        vm.endpoint.clear();
                      }
@@ -142,9 +142,9 @@
   WaveProgress progress;
   progress.number = 7;
   progress.rebooted = {VmId{"m0"}, VmId{"m1"}};
-  for (const bool is_told : {false, true}) {
-    progress.is_told = is_told;
-    progress.is_complete = !is_told;
+  for (const bool is_reported : {false, true}) {
+    progress.is_reported = is_reported;
+    progress.is_complete = !is_reported;
     const Result<WaveProgress> read = DecodeWaveProgress(EncodeWaveProgress(progress));
     ASSERT_TRUE(read);
     EXPECT_EQ(*read, progress);
--- a/tests/jobs/zone_cordon_test.cc
+++ b/tests/jobs/zone_cordon_test.cc
@@ -288,7 +288,7 @@
   zones.Cordon();
   const PoolLoad after = zones.world.scheduler.PoolLoads().at(ServiceId{"desk"});
   EXPECT_LT(after.cpu.running, before.cpu.running);
-  EXPECT_LT(after.cpu.at_once, before.cpu.at_once);
+  EXPECT_LT(after.cpu.concurrent_demand, before.cpu.concurrent_demand);
 }
 
 /// Guards against a wave that stands still in a cordoned zone: what has to leave a VM there needs a
