--- a/include/chervilspar/jobs/job.h
+++ b/include/chervilspar/jobs/job.h
@@ -13,14 +13,14 @@
 
 namespace chervilspar::jobs {
 
-/// The caller's name of a job: 64 bits, written as 16 hexadecimal digits.
+/// Identifies a job; chosen by the caller. 64 bits, written as 16 hexadecimal digits.
 struct JobId {
   std::uint64_t number = 0;
 
   friend auto operator<=>(const JobId&, const JobId&) = default;
 };
 
-/// Reads exactly 16 hexadecimal digits; nothing for any other text.
+/// Parses exactly 16 hexadecimal digits; returns nothing for any other text.
 std::optional<JobId> ParseJobId(std::string_view text);
 std::string ToString(const JobId& id);
 
@@ -34,78 +34,79 @@
   friend auto operator<=>(const TaskKey&, const TaskKey&) = default;
 };
 
-/// "JOB/OCCURRENCE/STEP/INDEX", as it appears in logs.
+/// Formats a key as "JOB/OCCURRENCE/STEP/INDEX" for logs.
 std::string ToString(const TaskKey& key);
 
-/// What a task needs, or what a VM or a team's limit has.
+/// Resources that a task requires, a VM has or a team's limit allows.
 struct Resources {
-  /// Thousandths of a core.
+  /// In thousandths of a core.
   std::int64_t cpu = 0;
   std::int64_t memory_mb = 0;
   std::int64_t gpus = 0;
 
   Resources operator+(const Resources& other) const;
   Resources operator-(const Resources& other) const;
-  /// True when `need` fits into this in every dimension.
+  /// Returns true if `need` fits into this in every dimension.
   bool Fits(const Resources& need) const;
 
   friend bool operator==(const Resources&, const Resources&) = default;
 };
 
-/// A set of equal tasks of a job.
+/// A set of identical tasks of a job.
 struct Step {
   std::uint32_t count = 1;
   Resources need;
-  /// The submitter's guess of one task's run time; may be far off.
+  /// The submitter's estimate of the run time of one task; may be inaccurate.
   std::int64_t estimate_ms = 0;
-  /// Earlier steps whose tasks must all have ended well before a task of this one starts.
+  /// Earlier steps whose tasks must all have succeeded before a task of this step starts.
   std::vector<std::uint32_t> after;
   /// Runs save their progress and can resume from a saved value.
   bool saves_progress = false;
-  /// The tasks work only while all of them run together, and end together.
+  /// The tasks make progress only while all of them run, and end together.
   bool is_gang = false;
-  /// The tasks are slowed down when they run on more than one rack.
+  /// The tasks are slower when they run on more than one rack.
   bool prefers_one_rack = false;
-  /// A label that the endpoint must have; empty for any.
+  /// A label that the endpoint must have; empty if any endpoint will do.
   std::string required_label;
-  /// The rack that holds the data; other racks are slower. Empty for any.
+  /// The rack that holds the data; tasks are slower on other racks. Empty if any rack will do.
   std::string data_rack;
-  /// Most tasks of one occurrence of the step on one endpoint; 0 for no limit.
+  /// Maximum number of tasks of one occurrence of the step on one endpoint; 0 for no limit.
   std::uint32_t max_per_endpoint = 0;
-  /// Copies of a task may run side by side.
+  /// Two runs of the same task may be active at the same time.
   bool allows_duplicate_runs = false;
-  /// Tasks run until the job is cancelled and are restarted however they end.
+  /// Tasks run until the job is cancelled and are restarted regardless of how they end.
   bool is_long_running = false;
-  /// Names what the tasks run; tasks of one image behave alike.
+  /// Names the program that the tasks run; tasks with the same image behave alike.
   std::string image;
-  /// Long-running tasks: their own users' response time must stay below this; 0 for none.
+  /// The upper limit on the response time that the users of long-running tasks see; 0 for none.
   std::int64_t target_ms = 0;
-  /// The tasks use what others on the endpoint leave over; their cpu isn't counted there.
+  /// The tasks use the cpu that other tasks on the endpoint leave idle; their own cpu isn't counted
+  /// there.
   bool is_filler = false;
-  /// Most tasks of a long-running step that may be away through this system's doing; absent: no
-  /// limit.
+  /// Maximum number of tasks of a long-running step that this system may make unavailable at the
+  /// same time; absent for no limit.
   std::optional<std::uint32_t> max_unavailable;
 
   friend bool operator==(const Step&, const Step&) = default;
 };
 
-/// A job as it was handed in. Never changes afterwards.
+/// A job as it was submitted. Immutable.
 struct Job {
   JobId id;
-  /// The queue that it was handed in to.
+  /// The queue that the job was submitted to.
   std::string queue;
-  /// Whose endpoints ran the queue's tasks at that time; used when the queue is taken away.
+  /// The service whose endpoints ran the queue's tasks at submission; used if the queue is removed.
   ServiceId service;
   TeamId team;
-  /// What the endpoints are told to run.
+  /// Describes the work for the endpoints.
   std::string payload;
   std::vector<Step> steps;
-  /// How often the steps run; 0 for a job that runs once, at once.
+  /// The number of times that the steps run; 0 for a job that runs once, immediately.
   std::uint32_t repeats = 0;
-  /// When occurrence 0 is due, in Unix milliseconds.
+  /// The time at which occurrence 0 is due, in Unix milliseconds.
   std::int64_t first_due_ms = 0;
   std::int64_t interval_ms = 0;
-  /// When the entry took the job, in Unix milliseconds.
+  /// The time at which an entry accepted the job, in Unix milliseconds.
   std::int64_t accepted_ms = 0;
 
   std::uint32_t Occurrences() const { return this->repeats == 0 ? 1 : this->repeats; }
@@ -115,25 +116,28 @@
   friend bool operator==(const Job&, const Job&) = default;
 };
 
-/// The most bytes of a job's payload; a longer one is refused. From the callers' contract.
+/// The maximum size of a job's payload, from the contract with the callers. A longer one is
+/// rejected.
 inline constexpr std::size_t kMaxPayloadBytes = 4000;
-/// Bounds on the shape of one job, so that a single caller can't take the memory of an entry,
-/// and its stored progress, up to 80 bytes a task, fits into one record of 256 KiB.
+/// Limits on the size of one job. They keep a single caller from exhausting the memory of an entry,
+/// and keep the stored progress, up to 80 bytes per task, within one record of 256 KiB.
 inline constexpr std::uint32_t kMaxSteps = 256;
 inline constexpr std::uint32_t kMaxTasks = 3000;
 
-/// A job's steps in a few characters, for logs: "6x3500m900ms 2x500m100ms<0".
+/// Formats a job's steps compactly for logs: "6x3500m256MB900ms 2x500m64MB100ms<0".
 std::string DescribeShape(const Job& job);
 
-/// Says what is wrong with a job: the field and the cause.
+/// Validates a job. The reason of a failure names the field and the cause.
 Status CheckJob(const Job& job);
 
-/// The stored form of a job, and back.
+/// Encodes a job in its stored form.
 std::string EncodeJob(const Job& job);
+/// Decodes the stored form. Fails with `ErrorCode::kMalformed` if the record isn't a stored job,
+/// and with the reason of `CheckJob` if the job is invalid.
 Result<Job> DecodeJob(std::string_view text);
 
-/// Reads the body of a submission in the product's own interface: the fields of the stored form
-/// that are the caller's to say. Names the field that is wrong.
+/// Parses the body of a submission to the product's own interface: the fields of the stored form
+/// that the caller sets. The reason of a failure names the invalid field.
 Result<Job> ParseJobBody(std::string_view text);
 
 }  // namespace chervilspar::jobs
--- a/include/chervilspar/jobs/overload_plan.h
+++ b/include/chervilspar/jobs/overload_plan.h
@@ -10,32 +10,33 @@
 
 namespace chervilspar::jobs {
 
-/// A job that can still be on time.
+/// A job that can still finish on time.
 struct UrgentJob {
   JobId job;
   TeamId team;
-  /// Milliseconds from now until its work must have begun.
+  /// Milliseconds from now until its work must start.
   double slack_ms = 0;
-  /// Thousandths of a core times milliseconds that are still to be placed.
+  /// Work that is still to be placed, in thousandths of a core times milliseconds.
   double work = 0;
 
   friend bool operator==(const UrgentJob&, const UrgentJob&) = default;
 };
 
-/// Chooses which jobs of a pool are served on time when not all can be.
+/// Selects the jobs of an overloaded pool that are abandoned so that the others finish on time.
 ///
-/// The load that it answers: a queue, or one team, asks for twice what all VMs together can do, for
-/// some seconds. Served in the order of their latest start, each job is begun at the last moment
-/// and the next one a little too late: nearly all miss their time. So those that don't fit are
-/// given up on early, as few as possible, and the rest is on time.
+/// If a queue or a team requests twice the capacity of all VMs for some seconds and the jobs are
+/// served in the order of their latest start, each job starts at the last moment and the next one
+/// slightly too late, so nearly all are late. Therefore the jobs that don't fit are abandoned
+/// early, as few as possible.
 ///
-/// Given up first is the largest job of the team that has most of the pool for its weight: one
-/// large job makes room for several, and a team that sends many times its usual doesn't crowd out
-/// the others (Moore's rule for the number of late jobs, taken team by team).
+/// The job abandoned first is the largest one of the team whose work is largest relative to its
+/// weight: one large job frees capacity for several small ones, and a team that submits far more
+/// than usual doesn't crowd out the others. This is Moore's algorithm for the minimum number of
+/// late jobs, applied per team.
 class OverloadPlan {
  public:
-  /// `jobs` in the order of their slack. `cpu`: thousandths of a core that the pool can give them.
-  /// `weights`: a team without one counts as 1.
+  /// Returns the jobs to abandon. `jobs` are sorted by slack. `cpu` is the capacity of the pool for
+  /// them in thousandths of a core. A team without an entry in `weights` has the weight 1.
   static std::set<JobId> SelectJobsToAbandon(const std::vector<UrgentJob>& jobs, double cpu,
                                              const std::map<TeamId, double>& weights);
 };
--- a/include/chervilspar/jobs/policy.h
+++ b/include/chervilspar/jobs/policy.h
@@ -13,31 +13,32 @@
 
 namespace chervilspar::jobs {
 
-/// A queue whose tasks may run only where an outside adviser says so.
+/// The terms of an external adviser that decides on which endpoints a queue's tasks may run.
 struct AdviceTerms {
-  /// For one question, and for each endpoint named in it.
+  /// The time that the adviser takes for a request, without the time for its endpoints.
   Duration base_time{};
-  Duration time_for_each{};
-  /// How long an answer may be used.
+  /// The additional time for each endpoint named in the request.
+  Duration time_per_endpoint{};
+  /// How long a response stays valid.
   Duration validity{};
 
   friend bool operator==(const AdviceTerms&, const AdviceTerms&) = default;
 };
 
-/// Where jobs are handed in and which service's endpoints run them.
+/// Where jobs are submitted, and which service's endpoints run them.
 struct Queue {
   std::string name;
-  /// The host name and the beginning of the path by which callers reach the queue.
+  /// The host name and the path prefix by which callers address the queue.
   std::string host;
   std::string path_prefix;
-  /// Callers need no key.
+  /// Callers don't need a key.
   bool is_public = false;
   ServiceId service;
-  /// 0 goes first.
+  /// 0 is the highest priority.
   std::uint32_t priority = 0;
-  /// How often a task may end as failed before its job fails.
+  /// The number of failed runs of a task after which its job fails.
   std::uint32_t attempts = 1;
-  /// A job is on time within this many times its longest chain of work, plus `target`.
+  /// A job is on time if it takes at most this factor times its critical path, plus `target`.
   double slack_factor = 1.0;
   Duration target{};
   std::optional<AdviceTerms> advice;
@@ -45,28 +46,28 @@
   friend bool operator==(const Queue&, const Queue&) = default;
 };
 
-/// What a team may use.
+/// The share and the limit of a team.
 struct TeamPolicy {
   TeamId id;
-  /// Its part when all is full.
+  /// The team's share relative to other teams when capacity is short.
   double weight = 1.0;
-  /// Most that it may have running; 0 in a dimension means no limit there.
+  /// Maximum resources of the team's running tasks; 0 in a dimension for no limit.
   Resources cap;
 
   friend bool operator==(const TeamPolicy&, const TeamPolicy&) = default;
 };
 
-/// The operators' rules as one version.
+/// One version of the operators' configuration for jobs.
 struct Policy {
   std::uint64_t version = 0;
   std::map<std::string, Queue> queues;
   std::map<TeamId, TeamPolicy> teams;
-  /// Which team a caller's key belongs to.
+  /// Maps the callers' keys to teams.
   std::map<std::string, TeamId> team_of_key;
   /// Pools whose VMs are switched off.
   std::set<ServiceId> standby;
 
-  /// The queue for a caller's host and path: that with the longest matching prefix. Null when
+  /// Returns the queue with the longest prefix that matches a caller's host and path, or null if
   /// there is none.
   const Queue* FindQueue(std::string_view host, std::string_view path) const;
 
--- a/include/chervilspar/jobs/pool_sizer.h
+++ b/include/chervilspar/jobs/pool_sizer.h
@@ -14,78 +14,80 @@
 
 namespace chervilspar::jobs {
 
-/// Work of one step that waits.
+/// Waiting work of one step.
 struct WaitingWork {
-  /// Milliseconds from now until it must have begun for its job to be on time; negative when that
-  /// has passed.
+  /// Milliseconds from now until the work must start for its job to be on time; negative if that
+  /// time has passed.
   double slack_ms = 0;
-  /// Amount of the resource times milliseconds.
+  /// In the resource's unit times milliseconds.
   double work = 0;
 
   friend auto operator<=>(const WaitingWork&, const WaitingWork&) = default;
 };
 
-/// What a pool's jobs ask for of one resource: of cpu in thousandths of a core, of memory in
-/// megabytes.
+/// The demand of a pool's jobs for one resource. The unit of cpu is a thousandth of a core, that of
+/// memory is a megabyte.
 struct ResourceLoad {
-  /// Estimated work of all jobs that came since the scheduler began, in the resource's amount times
-  /// milliseconds; only grows.
+  /// Estimated work of all jobs that have arrived since the scheduler started, in the resource's
+  /// unit times milliseconds. Never decreases.
   double arrived = 0;
-  /// What waits for an endpoint or for earlier steps, in any order.
+  /// The work that waits for an endpoint or for earlier steps, in any order.
   std::vector<WaitingWork> waiting;
-  /// What all that waits and runs would take if it ran at once.
+  /// The amount that all waiting and running work would use if it ran at the same time.
   double concurrent_demand = 0;
-  /// Estimated work that is still to be done of what runs, long-running tasks left out; in the unit
-  /// of `arrived`.
+  /// Estimated remaining work of running tasks except long-running ones, in the unit of `arrived`.
   double running = 0;
-  /// The part of `running` whose jobs are late already.
+  /// The part of `running` whose jobs are already late.
   double running_late = 0;
-  /// What long-running tasks take or wait for.
+  /// The amount that long-running tasks use or wait for.
   double long_running = 0;
 
   friend bool operator==(const ResourceLoad&, const ResourceLoad&) = default;
 };
 
-/// What a pool's jobs ask for now.
+/// The current demand of a pool's jobs.
 struct PoolLoad {
   ResourceLoad cpu;
   ResourceLoad memory;
-  /// How many jobs came since the scheduler began; only grows.
+  /// The number of jobs that have arrived since the scheduler started. Never decreases.
   double arrived_jobs = 0;
-  /// The most endpoints that one step needs, as only so many of its tasks may share one.
+  /// The minimum number of endpoints: the highest that any step needs because of its limit of tasks
+  /// per endpoint.
   int min_endpoints = 0;
-  /// Long-running tasks that wait for an endpoint, or should leave theirs and find no other.
+  /// The number of long-running tasks that wait for an endpoint, or should leave theirs and have no
+  /// other to move to.
   int waiting_long_running = 0;
 
   friend bool operator==(const PoolLoad&, const PoolLoad&) = default;
 };
 
-/// A VM as the sizer sees it.
+/// The sizer's view of a VM.
 struct SizerVm {
   VmId id;
   ServiceId pool;
   ZoneId zone;
-  /// Thousandths of a core in all, and in use.
+  /// Total cpu in thousandths of a core.
   double cpu = 0;
+  /// Cpu in use, in thousandths of a core.
   double used = 0;
-  /// Megabytes in all.
+  /// Total memory in megabytes.
   double memory = 0;
-  /// It serves, or will in a moment: up with a registered endpoint that may get work.
+  /// The VM takes work or soon will: it is up and has a registered endpoint that may get work.
   bool is_serving = false;
-  /// Nothing runs there.
+  /// Nothing runs on the VM.
   bool is_empty = false;
   bool has_long_running = false;
-  /// It has an endpoint that should answer and doesn't.
+  /// The VM has an endpoint that should respond and doesn't.
   bool is_silent = false;
-  /// Its zone gets no new work.
+  /// The VM's zone gets no new work.
   bool is_cordoned = false;
-  /// Taken by a wave or on its way between pools; not to be touched.
+  /// Part of a wave or being moved between pools; must not be released or moved.
   bool is_pinned = false;
 
   friend bool operator==(const SizerVm&, const SizerVm&) = default;
 };
 
-/// What is to be done with VMs now.
+/// The VM moves and releases that are due now.
 struct SizerPlan {
   struct Move {
     VmId vm;
@@ -94,139 +96,145 @@
     friend bool operator==(const Move&, const Move&) = default;
   };
   std::vector<Move> moves;
-  /// Get no new work, so that they become empty and can be moved.
+  /// VMs that get no new work, so that they become empty and can be moved.
   std::set<VmId> release;
 
   friend bool operator==(const SizerPlan&, const SizerPlan&) = default;
 };
 
-/// Times and weights of the sizer.
+/// Parameters of the sizer.
 struct SizerOptions {
-  /// From the decision until a moved VM takes work: 1.5 s for the move itself, the rest for its
-  /// registration.
+  /// Time from the decision to move a VM until it takes work: 1.5 s for the move itself and the
+  /// rest for the registration of its endpoint.
   Duration move_time = std::chrono::milliseconds(2000);
-  /// Part of the slack of what waits that is counted on: estimates are rough, and a step begins
-  /// when a whole endpoint's worth of room is found.
+  /// Fraction of the slack of waiting work that is relied on: estimates are inaccurate, and a step
+  /// starts only when a whole endpoint's worth of capacity is free.
   double slack_share = 0.6;
-  /// A VM is ordered for work that can still be on time if it has at least this long for it.
+  /// A VM is ordered for work that can still be on time only if it has at least this time for it.
   Duration min_use_time = std::chrono::milliseconds(300);
-  /// Over how many jobs the work of one is averaged.
+  /// The number of jobs over which the work per job is averaged.
   double jobs_averaged = 20;
-  /// Over which arrivals are averaged. Shorter, a few jobs that come together look like a peak;
-  /// longer, VMs come when the peak's first jobs are already late.
+  /// Time constant of the average of arrivals. If it is shorter, a few jobs that arrive together
+  /// look like a peak; if it is longer, VMs arrive when the first jobs of a peak are already late.
   Duration averaging_time = std::chrono::milliseconds(350);
-  /// The longer average that shows whether demand rises, in terms of `averaging_time`.
+  /// Time constant of the slower average that shows whether demand rises, as a multiple of
+  /// `averaging_time`.
   double slow_averaging_factor = 3;
-  /// How far a rise is continued, in terms of the difference of the two averages.
+  /// How far a rise is extrapolated, as a multiple of the difference of the two averages.
   double trend_gain = 4;
-  /// Of a rise, so many standard deviations of what chance alone would show are left out.
+  /// The number of standard deviations of random arrivals by which a rise is reduced.
   double trend_threshold_std_devs = 0.5;
-  /// With this many jobs in the average, half of what the average shows is believed.
+  /// The number of jobs in the average at which the forecast has half of its full weight.
   double half_confidence_jobs = 1;
-  /// How long a pool keeps what it needed, unless another pool lacks VMs. One that is switched off
-  /// and returns costs two moves and is paid for on its way: as much as five seconds of its price.
+  /// How long a pool keeps its size after its demand falls, unless another pool lacks VMs. A VM
+  /// that is switched off and returns costs two moves and is paid for meanwhile: as much as five
+  /// seconds of its price.
   Duration shrink_delay = std::chrono::milliseconds(2000);
-  /// Long-running tasks that have waited this long find no room in their pool, whatever the reason:
-  /// labels, the endpoints that their siblings are on, or memory in too small pieces. The pool gets
-  /// a VM more for each of them, and again when these have had time to come.
+  /// Long-running tasks that have waited this long don't fit into their pool, whatever the reason:
+  /// labels, the limit of sibling tasks per endpoint, or fragmented memory. The pool gets one more
+  /// VM for each of them, and again when these have had time to arrive.
   Duration blocked_task_delay = std::chrono::milliseconds(700);
-  /// Part of a VM's cpu and memory that is counted on: tasks don't fill them to the last, and
-  /// declared run times tend to be short.
+  /// Fraction of a VM's cpu and memory that is relied on: tasks don't fill a VM completely, and
+  /// declared run times tend to be too short.
   double usable_fraction = 0.75;
-  /// Whether an idle VM that its pool still keeps goes to one that lacks VMs.
+  /// Whether idle VMs above a pool's current need move to pools that lack VMs.
   bool lends_idle_vms = true;
-  /// Whether VMs that only run late work are lent as well.
+  /// Whether VMs whose running work is already late are lent, too.
   bool late_work_yields = true;
-  /// Whether VMs of zones that can't be reached are left out.
+  /// Whether VMs of unreachable zones are ignored.
   bool avoids_unreachable_zones = true;
-  /// Fewest VMs of a pool: the loss of one leaves others to go on.
+  /// Minimum number of VMs of a pool, so that the pool survives the loss of one.
   int min_vms = 3;
 
   friend bool operator==(const SizerOptions&, const SizerOptions&) = default;
 };
 
-/// Decides how many VMs each pool has. Pure; keeps averages between calls.
+/// Decides how many VMs each pool has. Does no I/O; keeps averages between calls.
 ///
-/// The load that it answers: queues whose demand rises by turns to several times what their pool
-/// holds while the others are nearly idle. With fixed pools the peak's jobs are late while most VMs
-/// idle and are paid for.
+/// The demand of each queue may peak at several times the capacity of its pool while other queues
+/// are nearly idle. With pools of fixed size the jobs of a peak would be late while most VMs idle
+/// and are paid for.
 class PoolSizer {
  public:
   explicit PoolSizer(SizerOptions options = {}) : options(options) {}
 
-  /// `standby`: the pool whose VMs are switched off; empty when there is none.
+  /// `standby`: the pool whose VMs are switched off; empty if there is none.
   SizerPlan Plan(TimePoint now, const std::map<ServiceId, PoolLoad>& loads,
                  const std::vector<SizerVm>& vms, const ServiceId& standby);
-  /// VMs that a pool should have, as last planned.
+  /// The number of VMs that a pool should have by the last plan; 0 for an unknown pool.
   int TargetSize(const ServiceId& pool) const;
 
  private:
-  /// Work of one job, averaged.
+  /// The average work per job.
   struct JobWork {
     double arrived = 0;
-    double of_one = 0;
+    double work_per_job = 0;
   };
   struct History {
     JobWork cpu;
     JobWork memory;
     double arrived_jobs = 0;
-    /// Jobs that arrive in a millisecond, averaged.
+    /// Jobs that arrive per millisecond, averaged.
     double job_rate = 0;
-    /// The same, averaged over longer.
+    /// The same, averaged over a longer time.
     double slow_job_rate = 0;
-    /// Jobs that `job_rate` is made of.
+    /// The decayed number of jobs that contribute to `job_rate`.
     double recent_jobs = 0;
-    TimePoint measured{};
-    bool is_known = false;
-    /// VMs needed now.
+    TimePoint measured_at{};
+    bool has_sample = false;
+    /// The number of VMs needed now.
     int needed = 0;
-    /// The same for jobs that can still be on time.
+    /// The same without the running work of jobs that are already late.
     int needed_on_time = 0;
-    /// The most needed lately, and when.
-    int wanted = 0;
-    TimePoint wanted_at{};
-    /// Since when long-running tasks wait.
+    /// The highest number of VMs needed recently, and when it was set.
+    int target = 0;
+    TimePoint target_set_at{};
+    /// The time since which long-running tasks wait.
     std::optional<TimePoint> waiting_since;
   };
 
-  /// Empty VMs that may go to a pool that lacks some, in the order in which they go: those that
-  /// their pool no longer wants, those that it can lend, those that are switched off.
-  struct Supply {
+  /// Empty VMs that may move to a pool that lacks VMs, in order of preference: those above their
+  /// pool's target size, those that their pool can lend, those that are switched off.
+  struct AvailableVms {
     std::vector<const SizerVm*> spare;
-    std::vector<const SizerVm*> lent;
-    std::vector<const SizerVm*> off;
+    std::vector<const SizerVm*> lendable;
+    std::vector<const SizerVm*> switched_off;
 
+    /// Removes and returns the next VM, or null if there is none.
     const SizerVm* Take();
   };
 
-  /// What can go wrong: a zone is cut off in a peak, its VMs are ordered like others, nobody
-  /// reaches them, and the callers wait for VMs that bring nothing. A zone with more silent
-  /// endpoints than answering ones counts as cut off; its VMs neither serve nor move, nor do those
-  /// of a zone that is cordoned.
-  std::vector<SizerVm> WithoutUnusableZones(const std::vector<SizerVm>& vms) const;
-  std::map<ServiceId, int> FindMissing(TimePoint now, const std::map<ServiceId, PoolLoad>& loads,
-                                       const std::vector<SizerVm>& vms, const ServiceId& standby);
-  void ReleaseFrom(const ServiceId& pool, const std::vector<SizerVm>& vms, int all_missing,
-                   Supply& supply, std::set<VmId>& released) const;
-  static void Share(std::map<ServiceId, int>& missing, Supply& supply, SizerPlan& step);
-  void Measure(TimePoint now, const std::map<ServiceId, PoolLoad>& loads);
-  void MeasureWork(double jobs, double arrived, JobWork& work) const;
-  /// How many jobs arrive in a millisecond, by those that came lately and how their number rises.
-  double ExpectedJobs(const History& history) const;
-  /// The amount that what waits and runs needs to be on time, as far as VMs ordered now come in
-  /// time for it. `running`: the work of what runs; `free`: what the pool's VMs have for all of it.
-  double ForBacklog(const ResourceLoad& load, double running, double free) const;
-  /// VMs that a pool needs.
-  struct Need {
+  /// Marks the VMs of unreachable and cordoned zones as neither serving nor movable. Otherwise VMs
+  /// of a zone that is cut off during a peak would be ordered, and callers would wait for VMs that
+  /// can't take work. A zone is unreachable if it has more unresponsive endpoints than responding
+  /// ones.
+  std::vector<SizerVm> ExcludeUnusableZones(const std::vector<SizerVm>& vms) const;
+  std::map<ServiceId, int> FindShortages(TimePoint now, const std::map<ServiceId, PoolLoad>& loads,
+                                         const std::vector<SizerVm>& vms, const ServiceId& standby);
+  void SelectReleases(const ServiceId& pool, const std::vector<SizerVm>& vms, int total_shortage,
+                      AvailableVms& available, std::set<VmId>& release) const;
+  static void AssignVms(std::map<ServiceId, int>& shortages, AvailableVms& available,
+                        SizerPlan& plan);
+  void UpdateAverages(TimePoint now, const std::map<ServiceId, PoolLoad>& loads);
+  void UpdateWorkPerJob(double jobs, double arrived, JobWork& work) const;
+  /// Forecasts the jobs that arrive per millisecond from recent arrivals and their trend.
+  double ForecastJobRate(const History& history) const;
+  /// Returns the amount of a resource that waiting and running work needs to be on time, as far as
+  /// VMs ordered now arrive in time for it. `running`: the remaining running work. `free`: the
+  /// amount that the pool's VMs have for this work.
+  double BacklogDemand(const ResourceLoad& load, double running, double free) const;
+  /// The number of VMs that a pool needs.
+  struct VmDemand {
     int all = 0;
-    /// Without what runs for jobs that are late already.
+    /// Without the running work of jobs that are already late.
     int on_time = 0;
   };
-  /// For one resource, which VMs have `amount` of.
-  Need NeedFor(const ResourceLoad& load, double arriving, const ServiceId& pool,
-               const std::vector<SizerVm>& vms, double SizerVm::*amount) const;
-  void Want(TimePoint now, const ServiceId& pool, const PoolLoad& load,
-            const std::vector<SizerVm>& vms);
+  /// Returns the VMs that a pool needs for one resource. `amount`: the member of a VM with its
+  /// total.
+  VmDemand RequiredVms(const ResourceLoad& load, double arriving, const ServiceId& pool,
+                       const std::vector<SizerVm>& vms, double SizerVm::*amount) const;
+  void UpdateTarget(TimePoint now, const ServiceId& pool, const PoolLoad& load,
+                    const std::vector<SizerVm>& vms);
 
   const SizerOptions options;
   std::map<ServiceId, History> pools;
--- a/include/chervilspar/jobs/progress.h
+++ b/include/chervilspar/jobs/progress.h
@@ -10,45 +10,45 @@
 
 namespace chervilspar::jobs {
 
-/// What callers are told of a job.
+/// The state of a job as it is reported to callers.
 enum class JobPhase { kQueued, kRunning, kComplete, kFailed, kCancelled };
 
 const char* ToString(JobPhase phase);
 
-/// Where a task stands, as far as it must outlast the process that decides.
+/// The part of a task's state that must survive a restart of the scheduler's process.
 enum class TaskPhase {
-  /// No run of it can be under way.
+  /// No run can be active.
   kWaiting,
-  /// A run may be under way on `endpoint`.
+  /// A run may be active on `endpoint`.
   kPlaced,
-  /// A run has ended well.
+  /// A run has succeeded.
   kDone,
-  /// It has failed as often as it may.
+  /// The task has reached the maximum number of failed runs.
   kFailed,
 };
 
-/// The stored part of a task's state. Written before a start is sent, so that a successor knows
-/// of each run that may exist and on which endpoint.
+/// The stored part of a task's state. It is written before a start order is sent, so that the next
+/// owner knows each run that may exist and its endpoint.
 struct TaskProgress {
   TaskPhase phase = TaskPhase::kWaiting;
   /// The number of the last run; 0 before the first.
   std::uint64_t run = 0;
-  /// The highest run whose end has been counted. Endpoints tell an end again until it is
-  /// confirmed, and counting it twice would fail a job too early.
+  /// The highest run whose end has been counted. Endpoints report an end repeatedly until it is
+  /// confirmed; counting it twice would fail a job too early.
   std::uint64_t ended_run = 0;
-  /// Runs that ended as failed.
+  /// The number of failed runs.
   std::uint32_t failures = 0;
-  /// Where the last run was placed.
+  /// The endpoint on which the last run was placed.
   std::string endpoint;
-  /// The endpoint's life at that time: the Unix millisecond of its start.
+  /// The endpoint's incarnation at that time: when its process started, in Unix milliseconds.
   std::int64_t endpoint_born_ms = 0;
-  /// The newest saved progress; empty for none.
+  /// The latest saved progress; empty if there is none.
   std::string checkpoint;
 
   friend bool operator==(const TaskProgress&, const TaskProgress&) = default;
 };
 
-/// A task's progress with its place in the job.
+/// A task's progress with its position in the job.
 struct TaskRow {
   std::uint32_t occurrence = 0;
   std::uint32_t step = 0;
@@ -61,11 +61,11 @@
 /// The stored progress of a job. Tasks without a row have never been placed.
 struct JobProgress {
   JobPhase phase = JobPhase::kQueued;
-  /// When the job came to its end, in Unix milliseconds; 0 while it goes on.
+  /// When the job ended, in Unix milliseconds; 0 if it hasn't.
   std::int64_t ended_ms = 0;
-  /// Occurrences that are complete; they need no rows.
+  /// Completed occurrences; they have no rows.
   std::vector<std::uint32_t> complete_occurrences;
-  /// In the order of occurrence, step and index.
+  /// Sorted by occurrence, step and index.
   std::vector<TaskRow> rows;
 
   bool IsEnded() const;
@@ -73,18 +73,18 @@
   friend bool operator==(const JobProgress&, const JobProgress&) = default;
 };
 
-/// How the progress of a job that goes on is stored. Both forms are read.
+/// The format in which the progress of an active job is stored. Either format can be decoded.
 enum class ProgressForm {
-  /// One list for each task. Versions that don't know the other form read only this one.
+  /// One array per task; the only format that older versions can decode.
   kRows,
-  /// Tasks that differ only in index and endpoint together: a fifth to a third of the bytes.
+  /// Tasks that differ only in index and endpoint are grouped: a fifth to a third of the bytes.
   kCompact,
 };
 
 std::string EncodeProgress(const JobProgress& progress, ProgressForm form);
-/// The reason names the first field that can't be read.
+/// Decodes either format. The reason of a failure names the first invalid field.
 Result<JobProgress> DecodeProgress(std::string_view text);
-/// Whether a record that can be read is in the compact form.
+/// Returns true if a valid record is in the compact format.
 bool IsCompactProgress(std::string_view text);
 
 }  // namespace chervilspar::jobs
--- a/include/chervilspar/jobs/upkeep.h
+++ b/include/chervilspar/jobs/upkeep.h
@@ -16,7 +16,7 @@
 
 enum class VmPhase { kUp, kMoving, kRebooting, kDown };
 
-/// A VM as the platform lists it.
+/// A VM as it appears in the platform's VM list.
 struct VmRecord {
   VmId id;
   ServiceId pool;
@@ -24,13 +24,13 @@
   ZoneId zone;
   std::string rack;
   Resources capacity;
-  /// The endpoint that runs on it; empty when there is none.
+  /// The endpoint that runs on the VM; empty if there is none.
   std::string endpoint;
 
   friend bool operator==(const VmRecord&, const VmRecord&) = default;
 };
 
-/// Operators ask that each of these VMs is rebooted by a time, at most `max_down` at once.
+/// An operators' request to reboot each of these VMs by a deadline, at most `max_down` at once.
 struct Wave {
   std::uint64_t number = 0;
   std::vector<VmId> vms;
@@ -59,81 +59,83 @@
 };
 
 enum class VmOrderOutcome {
-  /// Carried out now or before.
+  /// Carried out, either now or by an earlier order.
   kDone,
   kTokenTooLow,
-  /// The VM is not up, or leaving.
+  /// The VM is not up, or is leaving.
   kBusy,
-  /// The wave doesn't name the VM, or there is no such VM or pool.
+  /// The wave doesn't include the VM, or the VM or pool doesn't exist.
   kNotAllowed,
-  /// Too many calls; nothing was done.
+  /// Rejected by a rate limit; nothing was done.
   kRateLimited,
-  /// It did not leave this entry; nothing was done.
+  /// The order wasn't sent; nothing was done.
   kNotSent,
-  /// It may be carried out, also later.
+  /// The order may have been carried out, or may be carried out later.
   kNoAnswer,
 };
 
 const char* ToString(VmOrderOutcome outcome);
 
-/// How far the VMs of a wave are; stored, so that a successor doesn't empty them again.
+/// The progress of a wave; stored, so that the next owner doesn't evacuate the same VMs again.
 struct WaveProgress {
   std::uint64_t number = 0;
   std::set<VmId> rebooted;
-  /// Operators have been told that it is under way.
+  /// The start of the wave has been reported to the operators.
   bool is_reported = false;
-  /// They have been told that it is complete.
+  /// The completion of the wave has been reported to the operators.
   bool is_complete = false;
 
   friend bool operator==(const WaveProgress&, const WaveProgress&) = default;
 };
 
 std::string EncodeWaveProgress(const WaveProgress& progress);
+/// Fails with `ErrorCode::kMalformed` if the record can't be decoded.
 Result<WaveProgress> DecodeWaveProgress(std::string_view text);
 
-/// What the planner wants done now.
+/// The evacuations and reboots that are due now.
 struct UpkeepPlan {
-  /// Endpoints that get no new work and are emptied.
+  /// Endpoints to evacuate: they get no new work, and their work is moved away.
   std::vector<std::string> evacuate;
-  /// VMs that are empty and may go down now.
+  /// Empty VMs that may be rebooted now.
   std::vector<VmId> reboot;
-  /// Endpoints of the wave that are still to go down: work that stays shouldn't move there.
+  /// Endpoints of the wave whose VMs are still to be rebooted; evacuated work shouldn't move there.
   std::set<std::string> due;
-  /// The reboots of all VMs of the wave have begun.
+  /// The reboots of all VMs of the wave have started.
   bool is_complete = false;
 
   friend bool operator==(const UpkeepPlan&, const UpkeepPlan&) = default;
 };
 
-/// What the planner knows of a VM's endpoint.
+/// The planner's view of an endpoint on a VM.
 struct EndpointLoad {
   bool is_empty = false;
-  /// Its tasks have to be moved one after the other, which takes longest.
+  /// The endpoint runs long-running tasks, which are moved one at a time and take longest.
   bool has_long_running = false;
-  /// Its zone gets no new work.
+  /// The endpoint's zone gets no new work.
   bool is_cordoned = false;
-  /// Part of its pool's cpu that is in use, 0 to 1.
+  /// The fraction of its pool's cpu that is in use, 0 to 1.
   double pool_load = 0;
 };
 
-/// Chooses which VMs of a wave are emptied and rebooted next. Pure.
+/// Selects the VMs of a wave that are evacuated and rebooted next. Has no state.
 ///
-/// The load that it answers: VMs go down while queues reach their peaks. Emptying those of the
-/// least loaded pools first, and only a part of each pool at once, leaves room where the peak is.
-/// Those that are empty in a cordoned zone go before all others, as nobody misses them.
+/// Waves may coincide with peaks of the queues. Evacuating the VMs of the least loaded pools first,
+/// and only a part of each pool at once, preserves capacity in the pools with a peak. Empty VMs in
+/// a cordoned zone precede all others because they serve no work.
 class UpkeepPlanner {
  public:
-  /// VMs that can't be chosen now.
+  /// VMs that can't be selected now.
   struct UnavailableVms {
-    /// Ordered to reboot and not known to be up again.
+    /// Ordered to reboot, and not known to be up again.
     std::set<VmId> down;
-    /// On their way between pools.
+    /// Being moved between pools.
     std::set<VmId> moving;
-    /// Their reboot was refused a moment ago.
+    /// Their reboot was rejected recently.
     std::set<VmId> refused;
   };
+  /// `evacuating`: the VMs that earlier plans evacuate. `loads`: by endpoint.
   static UpkeepPlan Plan(const Wave& wave, const WaveProgress& progress,
-                         const std::vector<VmRecord>& vms, const UnavailableVms& absent,
+                         const std::vector<VmRecord>& vms, const UnavailableVms& unavailable,
                          const std::set<VmId>& evacuating,
                          const std::map<std::string, EndpointLoad>& loads);
 };
--- a/src/jobs/compact_progress.h
+++ b/src/jobs/compact_progress.h
@@ -8,20 +8,21 @@
 
 namespace chervilspar::jobs {
 
-/// A job's progress with each endpoint once and one entry for all tasks of a step that differ only
-/// in index, endpoint and checkpoint:
+/// Encodes a job's progress with each endpoint once, and with one group for all tasks of a step
+/// that differ only in index, endpoint and checkpoint:
 ///
 ///     [phase, endpoints, groups, complete, ended_ms]
-///     endpoints: [id, born_ms, id, born_ms, ...]; each birth less the one before
+///     endpoints: [id, born_ms, id, born_ms, ...]; each born_ms less the previous one
 ///     a group:   [phase, step, tasks, at, run, checkpoints, ended_run, failures, occurrence]
-///     tasks:     the indices as a set of bits, 32 to a number, lowest first
-///     at, checkpoints: by ascending index; empty for none, one item for all
+///     tasks:     a bit set of the indices, 32 bits per number, lowest first
+///     at:        positions in `endpoints` of the tasks' endpoints
+///     at, checkpoints: by ascending index; empty if no task has one, one item if all are equal
 ///
-/// Places at the end are left out where they have their default: run 1, all others 0 or empty.
-/// Needs at least one row.
+/// Trailing columns are omitted if they have their default: 1 for run, 0 or empty for all others.
+/// `progress` must have at least one row.
 std::string EncodeCompactProgress(const JobProgress& progress);
 
-/// Throws `FieldFault` for what can't be read.
+/// Decodes the compact format. Throws `FieldFault` if a field is invalid.
 JobProgress DecodeCompactProgress(const boost::json::value& in);
 
 }  // namespace chervilspar::jobs
--- a/src/jobs/job.cc
+++ b/src/jobs/job.cc
@@ -11,24 +11,25 @@
 
 constexpr std::size_t kIdDigits = 16;
 
-Reason Fault(std::string field, std::string message) {
+Reason InvalidField(std::string field, std::string message) {
   return {ErrorCode::kInvalidArgument, std::move(field), std::move(message)};
 }
 
 Status CheckStep(const Step& step, std::uint32_t number) {
-  const std::string place = "steps/" + std::to_string(number);
+  const std::string path = "steps/" + std::to_string(number);
   if (step.count == 0) {
-    return Fault(place + "/count", "must be at least 1");
+    return InvalidField(path + "/count", "must be at least 1");
   }
   if (step.need.cpu < 0 || step.need.memory_mb < 0 || step.need.gpus < 0) {
-    return Fault(place, "resources must not be below 0");
+    return InvalidField(path, "resources must not be negative");
   }
   if (step.estimate_ms < 0) {
-    return Fault(place + "/estimate", "must not be below 0");
+    return InvalidField(path + "/estimate", "must not be negative");
   }
-  for (const std::uint32_t before : step.after) {
-    if (before >= number) {
-      return Fault(place + "/after", "step " + std::to_string(before) + " is not an earlier step");
+  for (const std::uint32_t earlier : step.after) {
+    if (earlier >= number) {
+      return InvalidField(path + "/after",
+                          "step " + std::to_string(earlier) + " is not an earlier step");
     }
   }
   return Done{};
@@ -83,8 +84,8 @@
     text += text.empty() ? "" : " ";
     text += std::to_string(step.count) + "x" + std::to_string(step.need.cpu) + "m" +
             std::to_string(step.need.memory_mb) + "MB" + std::to_string(step.estimate_ms) + "ms";
-    for (const std::uint32_t before : step.after) {
-      text += "<" + std::to_string(before);
+    for (const std::uint32_t earlier : step.after) {
+      text += "<" + std::to_string(earlier);
     }
     text += step.is_long_running ? " long" : "";
     text += step.is_filler ? " filler" : "";
@@ -100,10 +101,10 @@
 
 Status CheckJob(const Job& job) {
   if (job.payload.size() > kMaxPayloadBytes) {
-    return Fault("payload", "is longer than " + std::to_string(kMaxPayloadBytes) + " bytes");
+    return InvalidField("payload", "is longer than " + std::to_string(kMaxPayloadBytes) + " bytes");
   }
   if (job.steps.empty() || job.steps.size() > kMaxSteps) {
-    return Fault("steps", "must be 1 to " + std::to_string(kMaxSteps) + " steps");
+    return InvalidField("steps", "must have 1 to " + std::to_string(kMaxSteps) + " steps");
   }
   std::uint64_t tasks = 0;
   std::uint32_t number = 0;
@@ -115,10 +116,10 @@
     ++number;
   }
   if (tasks > kMaxTasks) {
-    return Fault("steps", "have more than " + std::to_string(kMaxTasks) + " tasks together");
+    return InvalidField("steps", "have more than " + std::to_string(kMaxTasks) + " tasks in total");
   }
   if (job.repeats > 0 && (job.interval_ms < 0 || job.first_due_ms < 0)) {
-    return Fault("repeats", "first time and interval must not be below 0");
+    return InvalidField("repeats", "first time and interval must not be negative");
   }
   return Done{};
 }
--- a/src/jobs/job_codec.cc
+++ b/src/jobs/job_codec.cc
@@ -41,8 +41,8 @@
                NumberOf<std::int64_t>(in, "gpus")};
   step.estimate_ms = NumberOf<std::int64_t>(in, "estimate_ms");
   if (const json::array* after = ArrayOf(in, "after")) {
-    for (const json::value& before : *after) {
-      step.after.push_back(before.to_number<std::uint32_t>());
+    for (const json::value& earlier : *after) {
+      step.after.push_back(earlier.to_number<std::uint32_t>());
     }
   }
   step.saves_progress = FlagOf(in, "saves");
@@ -105,7 +105,7 @@
     job.interval_ms = NumberOf<std::int64_t>(in, "interval_ms");
     return job;
   } catch (const std::exception&) {
-    return Reason{ErrorCode::kInvalidArgument, field, "has a value of another type"};
+    return Reason{ErrorCode::kInvalidArgument, field, "has a value of the wrong type"};
   }
 }
 
--- a/src/jobs/json_columns.h
+++ b/src/jobs/json_columns.h
@@ -11,7 +11,7 @@
 
 namespace chervilspar::jobs {
 
-/// A place in a record that can't be read.
+/// Thrown for an invalid field of a record.
 class FieldFault : public std::runtime_error {
  public:
   FieldFault(const std::string& field, const std::string& message)
@@ -23,49 +23,50 @@
   std::string field;
 };
 
-/// The value of a field as a number. Throws `FieldFault` when it is of another type or out of
-/// range.
+/// Returns the value of a field as a number. Throws `FieldFault` if it has the wrong type or is out
+/// of range.
 template <typename T>
 T NumberAt(const boost::json::value& value, const std::string& field) {
   boost::system::error_code error;
   const T number = value.to_number<T>(error);
   if (error) {
-    throw FieldFault(field, "is not a number that can be here");
+    throw FieldFault(field, "is not a number or is out of range");
   }
   return number;
 }
 
-/// The same for one of an enumeration's values from 0 to `last`.
+/// Returns the value of a field as an enumerator from 0 to `last`. Throws `FieldFault` otherwise.
 template <typename Enum>
 Enum EnumAt(const boost::json::value& value, const std::string& field, Enum last) {
   const int number = NumberAt<int>(value, field);
   if (number < 0 || number > static_cast<int>(last)) {
-    throw FieldFault(field, "is none of the known values");
+    throw FieldFault(field, "is not a known value");
   }
   return static_cast<Enum>(number);
 }
 
-/// The same for a text.
+/// Returns the value of a field as a string. Throws `FieldFault` if it has another type.
 inline std::string TextAt(const boost::json::value& value, const std::string& field) {
   if (!value.is_string()) {
-    throw FieldFault(field, "is not a text");
+    throw FieldFault(field, "is not a string");
   }
   return std::string(value.get_string());
 }
 
-/// The same for a list.
+/// Returns the value of a field as an array. Throws `FieldFault` if it has another type.
 inline const boost::json::array& ListAt(const boost::json::value& value, const std::string& field) {
   if (!value.is_array()) {
-    throw FieldFault(field, "is not a list");
+    throw FieldFault(field, "is not an array");
   }
   return value.get_array();
 }
 
-/// Reads a list whose places have names. Places at the end may be missing.
+/// Reads a JSON array whose positions are named columns. Trailing columns may be missing. Reading a
+/// column throws `FieldFault` if its value is invalid.
 class JsonColumns {
  public:
-  /// `names`: the name of each place, of static storage; `path`: where the list stands in its
-  /// record.
+  /// `names`: the name of each column, with static storage duration. `path`: the path of the array
+  /// in its record; empty for the record itself.
   JsonColumns(const boost::json::value& in, const char* const* names, const std::string& path)
       : in(ListAt(in, path)), names(names), path(path) {}
 
@@ -73,7 +74,7 @@
     return this->path.empty() ? this->names[column] : this->path + '/' + this->names[column];
   }
 
-  /// A place that must be there.
+  /// Returns a required column; throws `FieldFault` if it is missing.
   const boost::json::value& At(std::size_t column) const {
     if (column >= this->in.size()) {
       throw FieldFault(this->PathOf(column), "is missing");
@@ -86,10 +87,10 @@
     return NumberAt<T>(this->At(column), this->PathOf(column));
   }
 
-  /// A number; `otherwise` when its place is missing.
+  /// Returns a number, or `default_value` if the column is missing.
   template <typename T>
-  T Number(std::size_t column, T otherwise) const {
-    return column < this->in.size() ? this->Number<T>(column) : otherwise;
+  T Number(std::size_t column, T default_value) const {
+    return column < this->in.size() ? this->Number<T>(column) : default_value;
   }
 
   template <typename Enum>
@@ -101,10 +102,10 @@
     return TextAt(this->At(column), this->PathOf(column));
   }
 
-  /// A list; empty when its place is missing.
+  /// Returns an array; empty if the column is missing.
   const boost::json::array& List(std::size_t column) const {
-    static const boost::json::array kNone;
-    return column < this->in.size() ? ListAt(this->in[column], this->PathOf(column)) : kNone;
+    static const boost::json::array kEmpty;
+    return column < this->in.size() ? ListAt(this->in[column], this->PathOf(column)) : kEmpty;
   }
 
  private:
--- a/src/jobs/json_values.h
+++ b/src/jobs/json_values.h
@@ -7,7 +7,8 @@
 
 namespace chervilspar::jobs {
 
-/// Adds a member unless it has its default value, as stored records are written often.
+/// Adds a member unless it has its default value. Stored records are written often, so they are
+/// kept short.
 template <typename T>
 void PutUnlessDefault(boost::json::object& out, std::string_view name, const T& value) {
   if (!(value == T{})) {
@@ -15,26 +16,27 @@
   }
 }
 
-/// A number; `otherwise` when it is absent. Throws when it is of another type or out of range.
+/// Returns a number, or `default_value` if it is absent. Throws if the value has another type or is
+/// out of range.
 template <typename T>
-T NumberOf(const boost::json::object& in, std::string_view name, T otherwise = T{}) {
+T NumberOf(const boost::json::object& in, std::string_view name, T default_value = T{}) {
   const boost::json::value* value = in.if_contains(name);
-  return value == nullptr ? otherwise : value->to_number<T>();
+  return value == nullptr ? default_value : value->to_number<T>();
 }
 
-/// A text; empty when it is absent. Throws when it is of another type.
+/// Returns a string; empty if it is absent. Throws if the value has another type.
 inline std::string TextOf(const boost::json::object& in, std::string_view name) {
   const boost::json::value* value = in.if_contains(name);
   return value == nullptr ? std::string() : std::string(value->as_string());
 }
 
-/// A flag; false when it is absent. Throws when it is of another type.
+/// Returns a boolean; false if it is absent. Throws if the value has another type.
 inline bool FlagOf(const boost::json::object& in, std::string_view name) {
   const boost::json::value* value = in.if_contains(name);
   return value != nullptr && value->as_bool();
 }
 
-/// A list; null when it is absent. Throws when it is of another type.
+/// Returns an array; null if it is absent. Throws if the value has another type.
 inline const boost::json::array* ArrayOf(const boost::json::object& in, std::string_view name) {
   const boost::json::value* value = in.if_contains(name);
   return value == nullptr ? nullptr : &value->as_array();
--- a/src/jobs/overload_plan.cc
+++ b/src/jobs/overload_plan.cc
@@ -8,46 +8,47 @@
 
 namespace {
 
-/// What is kept of one team.
-struct TeamPart {
+/// The remaining jobs of one team.
+struct TeamBacklog {
   double work = 0;
   double weight = 1;
-  std::set<std::pair<double, JobId>> by_work;
+  std::set<std::pair<double, JobId>> jobs_by_work;
 };
 
 }  // namespace
 
 std::set<JobId> OverloadPlan::SelectJobsToAbandon(const std::vector<UrgentJob>& jobs, double cpu,
                                                   const std::map<TeamId, double>& weights) {
-  std::set<JobId> given_up;
-  std::map<TeamId, TeamPart> teams;
-  double kept = 0;
+  std::set<JobId> abandoned;
+  std::map<TeamId, TeamBacklog> teams;
+  double total_work = 0;
   for (const UrgentJob& job : jobs) {
-    TeamPart& team = teams[job.team];
+    TeamBacklog& team = teams[job.team];
     const auto weight = weights.find(job.team);
     team.weight = weight == weights.end() ? 1 : std::max(weight->second, 1e-6);
     team.work += job.work;
-    team.by_work.insert({job.work, job.job});
-    kept += job.work;
-    while (kept > cpu * std::max(job.slack_ms, 0.0) && kept > 0) {
-      TeamPart* most = nullptr;
-      for (auto& [id, part] : teams) {
-        const bool has_jobs = !part.by_work.empty();
-        if (has_jobs && (most == nullptr || part.work / part.weight > most->work / most->weight)) {
-          most = &part;
+    team.jobs_by_work.insert({job.work, job.job});
+    total_work += job.work;
+    while (total_work > cpu * std::max(job.slack_ms, 0.0) && total_work > 0) {
+      TeamBacklog* heaviest = nullptr;
+      for (auto& [id, backlog] : teams) {
+        const bool has_jobs = !backlog.jobs_by_work.empty();
+        if (has_jobs && (heaviest == nullptr ||
+                         backlog.work / backlog.weight > heaviest->work / heaviest->weight)) {
+          heaviest = &backlog;
         }
       }
-      if (most == nullptr) {
+      if (heaviest == nullptr) {
         break;
       }
-      const auto largest = std::prev(most->by_work.end());
-      given_up.insert(largest->second);
-      most->work -= largest->first;
-      kept -= largest->first;
-      most->by_work.erase(largest);
+      const auto largest = std::prev(heaviest->jobs_by_work.end());
+      abandoned.insert(largest->second);
+      heaviest->work -= largest->first;
+      total_work -= largest->first;
+      heaviest->jobs_by_work.erase(largest);
     }
   }
-  return given_up;
+  return abandoned;
 }
 
 }  // namespace chervilspar::jobs
--- a/src/jobs/pool_sizer.cc
+++ b/src/jobs/pool_sizer.cc
@@ -7,20 +7,20 @@
 
 namespace {
 
-/// A job that begins a little after its latest start is often still on time.
+/// A job that starts shortly after its latest start time is often still on time.
 constexpr double kStartGraceMs = 200;
 
-double Milliseconds(Duration span) {
-  return std::chrono::duration<double, std::milli>(span).count();
+double Milliseconds(Duration duration) {
+  return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-/// VMs of a pool that take work or soon will.
-int Serving(const std::vector<SizerVm>& vms, const ServiceId& pool) {
+/// Counts the VMs of a pool that take work or soon will.
+int CountServing(const std::vector<SizerVm>& vms, const ServiceId& pool) {
   return static_cast<int>(std::count_if(
       vms.begin(), vms.end(), [&](const SizerVm& vm) { return vm.pool == pool && vm.is_serving; }));
 }
 
-/// What may be moved out of a pool, the emptiest first.
+/// Lists the VMs that may be moved out of a pool: empty ones first, then by rising cpu use.
 std::vector<const SizerVm*> Releasable(const std::vector<SizerVm>& vms, const ServiceId& pool) {
   std::vector<const SizerVm*> found;
   for (const SizerVm& vm : vms) {
@@ -36,190 +36,198 @@
 
 }  // namespace
 
-std::vector<SizerVm> PoolSizer::WithoutUnusableZones(const std::vector<SizerVm>& vms) const {
-  std::map<ZoneId, int> answering;
+std::vector<SizerVm> PoolSizer::ExcludeUnusableZones(const std::vector<SizerVm>& vms) const {
+  std::map<ZoneId, int> responding;
   for (const SizerVm& vm : vms) {
-    answering[vm.zone] += vm.is_silent ? -1 : (vm.is_serving && !vm.is_empty ? 1 : 0);
+    responding[vm.zone] += vm.is_silent ? -1 : (vm.is_serving && !vm.is_empty ? 1 : 0);
   }
-  std::vector<SizerVm> seen = vms;
-  for (SizerVm& vm : seen) {
-    const bool is_dark = this->options.avoids_unreachable_zones && answering[vm.zone] < 0;
-    if (is_dark || vm.is_cordoned) {
+  std::vector<SizerVm> usable_vms = vms;
+  for (SizerVm& vm : usable_vms) {
+    const bool is_unreachable = this->options.avoids_unreachable_zones && responding[vm.zone] < 0;
+    if (is_unreachable || vm.is_cordoned) {
       vm.is_serving = false;
       vm.is_pinned = true;
     }
   }
-  return seen;
+  return usable_vms;
 }
 
 int PoolSizer::TargetSize(const ServiceId& pool) const {
   const auto found = this->pools.find(pool);
-  return found == this->pools.end() ? 0 : found->second.wanted;
+  return found == this->pools.end() ? 0 : found->second.target;
 }
 
-void PoolSizer::Measure(TimePoint now, const std::map<ServiceId, PoolLoad>& loads) {
+void PoolSizer::UpdateAverages(TimePoint now, const std::map<ServiceId, PoolLoad>& loads) {
   for (const auto& [pool, load] : loads) {
     History& history = this->pools[pool];
-    const double passed = Milliseconds(now - history.measured);
-    if (history.is_known && passed > 0) {
-      const double came = load.arrived_jobs - history.arrived_jobs;
-      const double kept = std::exp(-passed / Milliseconds(this->options.averaging_time));
-      history.job_rate += (1.0 - kept) * (came / passed - history.job_rate);
-      const double kept_longer = std::exp(-passed / Milliseconds(this->options.averaging_time) /
-                                          this->options.slow_averaging_factor);
-      history.slow_job_rate += (1.0 - kept_longer) * (came / passed - history.slow_job_rate);
-      history.recent_jobs = kept * history.recent_jobs + came;
-      this->MeasureWork(came, load.cpu.arrived, history.cpu);
-      this->MeasureWork(came, load.memory.arrived, history.memory);
+    const double elapsed_ms = Milliseconds(now - history.measured_at);
+    if (history.has_sample && elapsed_ms > 0) {
+      const double arrived_jobs = load.arrived_jobs - history.arrived_jobs;
+      const double decay = std::exp(-elapsed_ms / Milliseconds(this->options.averaging_time));
+      history.job_rate += (1.0 - decay) * (arrived_jobs / elapsed_ms - history.job_rate);
+      const double slow_decay = std::exp(-elapsed_ms / Milliseconds(this->options.averaging_time) /
+                                         this->options.slow_averaging_factor);
+      history.slow_job_rate +=
+          (1.0 - slow_decay) * (arrived_jobs / elapsed_ms - history.slow_job_rate);
+      history.recent_jobs = decay * history.recent_jobs + arrived_jobs;
+      this->UpdateWorkPerJob(arrived_jobs, load.cpu.arrived, history.cpu);
+      this->UpdateWorkPerJob(arrived_jobs, load.memory.arrived, history.memory);
     }
-    history.is_known = true;
+    history.has_sample = true;
     history.cpu.arrived = load.cpu.arrived;
     history.memory.arrived = load.memory.arrived;
     history.arrived_jobs = load.arrived_jobs;
-    history.measured = now;
+    history.measured_at = now;
   }
 }
 
-void PoolSizer::MeasureWork(double jobs, double arrived, JobWork& work) const {
+void PoolSizer::UpdateWorkPerJob(double jobs, double arrived, JobWork& work) const {
   if (jobs <= 0) {
     return;
   }
-  const double of_these = (arrived - work.arrived) / jobs;
-  const double part = work.of_one > 0 ? jobs / (jobs + this->options.jobs_averaged) : 1;
-  work.of_one += part * (of_these - work.of_one);
+  const double sample = (arrived - work.arrived) / jobs;
+  const double sample_weight =
+      work.work_per_job > 0 ? jobs / (jobs + this->options.jobs_averaged) : 1;
+  work.work_per_job += sample_weight * (sample - work.work_per_job);
 }
 
-double PoolSizer::ExpectedJobs(const History& history) const {
-  const double chance =
+double PoolSizer::ForecastJobRate(const History& history) const {
+  const double std_dev =
       std::sqrt(history.slow_job_rate / (2 * Milliseconds(this->options.averaging_time)));
   const double rise = std::max(0.0, history.job_rate - history.slow_job_rate -
-                                        this->options.trend_threshold_std_devs * chance);
-  const double belief =
+                                        this->options.trend_threshold_std_devs * std_dev);
+  const double confidence =
       history.recent_jobs / (history.recent_jobs + this->options.half_confidence_jobs);
-  return belief * (history.job_rate + this->options.trend_gain * rise);
+  return confidence * (history.job_rate + this->options.trend_gain * rise);
 }
 
-double PoolSizer::ForBacklog(const ResourceLoad& load, double running, double free) const {
+double PoolSizer::BacklogDemand(const ResourceLoad& load, double running, double free) const {
   std::vector<WaitingWork> waiting = load.waiting;
   std::sort(waiting.begin(), waiting.end());
-  const double move = Milliseconds(this->options.move_time);
-  const double least = Milliseconds(this->options.min_use_time);
-  double due = running;
-  // What would do if it were there now, and what has to come in addition to what is there.
-  double at_least = 0;
-  double more = 0;
-  for (const WaitingWork& part : waiting) {
-    if (part.slack_ms < 0) {
-      continue;  // late already: done by what is there
+  const double move_ms = Milliseconds(this->options.move_time);
+  const double min_use_ms = Milliseconds(this->options.min_use_time);
+  double due_work = running;
+  // The amount that would suffice if it were present now, and the amount that is needed in addition
+  // to `free`.
+  double min_now = 0;
+  double additional = 0;
+  for (const WaitingWork& item : waiting) {
+    if (item.slack_ms < 0) {
+      continue;  // Already late: left to the VMs that the pool has.
     }
-    due += part.work;
-    const double span = part.slack_ms * this->options.slack_share + kStartGraceMs;
-    at_least = std::max(at_least, due / span);
-    if (span - move >= least) {
-      more = std::max(more, (due - free * span) / (span - move));
+    due_work += item.work;
+    const double available_ms = item.slack_ms * this->options.slack_share + kStartGraceMs;
+    min_now = std::max(min_now, due_work / available_ms);
+    if (available_ms - move_ms >= min_use_ms) {
+      additional =
+          std::max(additional, (due_work - free * available_ms) / (available_ms - move_ms));
     }
   }
-  return std::min(std::min(at_least, free) + more, load.concurrent_demand);
+  return std::min(std::min(min_now, free) + additional, load.concurrent_demand);
 }
 
-PoolSizer::Need PoolSizer::NeedFor(const ResourceLoad& load, double arriving, const ServiceId& pool,
-                                   const std::vector<SizerVm>& vms, double SizerVm::*amount) const {
-  double there = 0;
-  double of_one = 0;
+PoolSizer::VmDemand PoolSizer::RequiredVms(const ResourceLoad& load, double arriving,
+                                           const ServiceId& pool, const std::vector<SizerVm>& vms,
+                                           double SizerVm::*amount) const {
+  double serving_capacity = 0;
+  double usable_per_vm = 0;
   for (const SizerVm& vm : vms) {
-    const double usable_fraction = vm.*amount * this->options.usable_fraction;
-    there += vm.pool == pool && vm.is_serving ? usable_fraction : 0;
-    of_one = std::max(of_one, usable_fraction);
+    const double usable = vm.*amount * this->options.usable_fraction;
+    serving_capacity += vm.pool == pool && vm.is_serving ? usable : 0;
+    usable_per_vm = std::max(usable_per_vm, usable);
   }
-  if (of_one <= 0) {
+  if (usable_per_vm <= 0) {
     return {};
   }
-  const double free = std::max(0.0, there - load.long_running);
+  const double free = std::max(0.0, serving_capacity - load.long_running);
   const auto vms_for = [&](double running) {
     const double needed =
-        load.long_running + std::max(arriving, this->ForBacklog(load, running, free));
-    // More than there are would say nothing.
-    return static_cast<int>(std::min(std::ceil(needed / of_one), static_cast<double>(vms.size())));
+        load.long_running + std::max(arriving, this->BacklogDemand(load, running, free));
+    // There is no use in more VMs than exist.
+    return static_cast<int>(
+        std::min(std::ceil(needed / usable_per_vm), static_cast<double>(vms.size())));
   };
   return {vms_for(load.running), vms_for(load.running - load.running_late)};
 }
 
-void PoolSizer::Want(TimePoint now, const ServiceId& pool, const PoolLoad& load,
-                     const std::vector<SizerVm>& vms) {
+void PoolSizer::UpdateTarget(TimePoint now, const ServiceId& pool, const PoolLoad& load,
+                             const std::vector<SizerVm>& vms) {
   const bool is_known =
       std::any_of(vms.begin(), vms.end(), [](const SizerVm& vm) { return vm.cpu > 0; });
   if (!is_known) {
     return;
   }
   History& history = this->pools[pool];
-  const double jobs = this->ExpectedJobs(history);
-  const Need cpu = this->NeedFor(load.cpu, jobs * history.cpu.of_one, pool, vms, &SizerVm::cpu);
-  const Need memory =
-      this->NeedFor(load.memory, jobs * history.memory.of_one, pool, vms, &SizerVm::memory);
-  const int least = std::max(this->options.min_vms, load.min_endpoints);
-  history.needed_on_time = std::max({least, cpu.on_time, memory.on_time});
-  int wanted = std::max({least, cpu.all, memory.all});
+  const double jobs = this->ForecastJobRate(history);
+  const VmDemand cpu =
+      this->RequiredVms(load.cpu, jobs * history.cpu.work_per_job, pool, vms, &SizerVm::cpu);
+  const VmDemand memory = this->RequiredVms(load.memory, jobs * history.memory.work_per_job, pool,
+                                            vms, &SizerVm::memory);
+  const int min_vms = std::max(this->options.min_vms, load.min_endpoints);
+  history.needed_on_time = std::max({min_vms, cpu.on_time, memory.on_time});
+  int required = std::max({min_vms, cpu.all, memory.all});
   if (load.waiting_long_running == 0) {
     history.waiting_since.reset();
   } else if (!history.waiting_since) {
     history.waiting_since = now;
   } else if (now - *history.waiting_since > this->options.blocked_task_delay) {
-    wanted = std::max(wanted, Serving(vms, pool) + load.waiting_long_running);
+    required = std::max(required, CountServing(vms, pool) + load.waiting_long_running);
     history.waiting_since = now + this->options.move_time;
   }
-  history.needed = wanted;
-  if (history.wanted_at == TimePoint{}) {
-    // The predecessor knew why the pool is as large as it is.
-    history.wanted = Serving(vms, pool);
-    history.wanted_at = now;
+  history.needed = required;
+  if (history.target_set_at == TimePoint{}) {
+    // The previous owner chose the current size for a demand that isn't known here yet.
+    history.target = CountServing(vms, pool);
+    history.target_set_at = now;
   }
-  if (wanted >= history.wanted || now - history.wanted_at > this->options.shrink_delay) {
-    history.wanted = wanted;
-    history.wanted_at = now;
+  if (required >= history.target || now - history.target_set_at > this->options.shrink_delay) {
+    history.target = required;
+    history.target_set_at = now;
   }
 }
 
-std::map<ServiceId, int> PoolSizer::FindMissing(TimePoint now,
-                                                const std::map<ServiceId, PoolLoad>& loads,
-                                                const std::vector<SizerVm>& vms,
-                                                const ServiceId& standby) {
-  std::map<ServiceId, int> missing;
+std::map<ServiceId, int> PoolSizer::FindShortages(TimePoint now,
+                                                  const std::map<ServiceId, PoolLoad>& loads,
+                                                  const std::vector<SizerVm>& vms,
+                                                  const ServiceId& standby) {
+  std::map<ServiceId, int> shortages;
   for (const auto& [pool, load] : loads) {
     if (pool == standby) {
       continue;
     }
-    this->Want(now, pool, load, vms);
-    const int lacks = this->pools[pool].needed - Serving(vms, pool);
-    if (lacks > 0) {
-      missing[pool] = lacks;
+    this->UpdateTarget(now, pool, load, vms);
+    const int shortage = this->pools[pool].needed - CountServing(vms, pool);
+    if (shortage > 0) {
+      shortages[pool] = shortage;
     }
   }
-  return missing;
+  return shortages;
 }
 
-void PoolSizer::ReleaseFrom(const ServiceId& pool, const std::vector<SizerVm>& vms, int all_missing,
-                            Supply& supply, std::set<VmId>& released) const {
+void PoolSizer::SelectReleases(const ServiceId& pool, const std::vector<SizerVm>& vms,
+                               int total_shortage, AvailableVms& available,
+                               std::set<VmId>& release) const {
   const History& history = this->pools.at(pool);
-  const int serving = Serving(vms, pool);
-  const int unwanted = serving - history.wanted;
-  // Others' jobs that can still be on time go before what is late here.
+  const int serving = CountServing(vms, pool);
+  const int surplus = serving - history.target;
+  // Jobs of other pools that can still be on time take precedence over late jobs of this pool.
   const int needed = this->options.late_work_yields
                          ? std::min(history.needed, history.needed_on_time)
                          : history.needed;
   const int unneeded = serving - needed;
   const std::vector<const SizerVm*> releasable = Releasable(vms, pool);
-  const int lendable = this->options.lends_idle_vms ? std::min(unneeded, all_missing) : 0;
-  const int most = std::max(unwanted, lendable);
-  for (int i = 0; i < most && i < static_cast<int>(releasable.size()); ++i) {
-    released.insert(releasable[i]->id);
+  const int max_lent = this->options.lends_idle_vms ? std::min(unneeded, total_shortage) : 0;
+  const int max_releases = std::max(surplus, max_lent);
+  for (int i = 0; i < max_releases && i < static_cast<int>(releasable.size()); ++i) {
+    release.insert(releasable[i]->id);
     if (releasable[i]->is_empty) {
-      (i < unwanted ? supply.spare : supply.lent).push_back(releasable[i]);
+      (i < surplus ? available.spare : available.lendable).push_back(releasable[i]);
     }
   }
 }
 
-const SizerVm* PoolSizer::Supply::Take() {
-  for (std::vector<const SizerVm*>* source : {&this->spare, &this->lent, &this->off}) {
+const SizerVm* PoolSizer::AvailableVms::Take() {
+  for (std::vector<const SizerVm*>* source : {&this->spare, &this->lendable, &this->switched_off}) {
     if (!source->empty()) {
       const SizerVm* vm = source->back();
       source->pop_back();
@@ -229,49 +237,50 @@
   return nullptr;
 }
 
-/// What can go wrong: one pool lacks hundreds of VMs for its peak, takes all that there are, and a
-/// task that serves users waits in another for the one VM that it needs. So the pools take turns.
-void PoolSizer::Share(std::map<ServiceId, int>& missing, Supply& supply, SizerPlan& step) {
-  while (!missing.empty()) {
-    for (auto pool = missing.begin(); pool != missing.end();) {
-      const SizerVm* vm = supply.Take();
+/// Assigns VMs to the pools in turn. Otherwise a pool that lacks hundreds of VMs in a peak would
+/// take all of them while a task that serves users waits in another pool for a single VM.
+void PoolSizer::AssignVms(std::map<ServiceId, int>& shortages, AvailableVms& available,
+                          SizerPlan& plan) {
+  while (!shortages.empty()) {
+    for (auto pool = shortages.begin(); pool != shortages.end();) {
+      const SizerVm* vm = available.Take();
       if (vm == nullptr) {
         return;
       }
-      step.moves.push_back({vm->id, pool->first});
-      pool = --pool->second == 0 ? missing.erase(pool) : std::next(pool);
+      plan.moves.push_back({vm->id, pool->first});
+      pool = --pool->second == 0 ? shortages.erase(pool) : std::next(pool);
     }
   }
 }
 
 SizerPlan PoolSizer::Plan(TimePoint now, const std::map<ServiceId, PoolLoad>& loads,
-                          const std::vector<SizerVm>& all_vms, const ServiceId& standby) {
-  const std::vector<SizerVm> vms = this->WithoutUnusableZones(all_vms);
-  this->Measure(now, loads);
-  std::map<ServiceId, int> missing = this->FindMissing(now, loads, vms, standby);
-  int all_missing = 0;
-  for (const auto& [pool, lacks] : missing) {
-    all_missing += lacks;
+                          const std::vector<SizerVm>& listed_vms, const ServiceId& standby) {
+  const std::vector<SizerVm> vms = this->ExcludeUnusableZones(listed_vms);
+  this->UpdateAverages(now, loads);
+  std::map<ServiceId, int> shortages = this->FindShortages(now, loads, vms, standby);
+  int total_shortage = 0;
+  for (const auto& [pool, shortage] : shortages) {
+    total_shortage += shortage;
   }
-  SizerPlan step;
-  Supply supply;
+  SizerPlan plan;
+  AvailableVms available;
   for (const auto& [pool, load] : loads) {
-    if (pool != standby && !missing.contains(pool)) {
-      this->ReleaseFrom(pool, vms, all_missing, supply, step.release);
+    if (pool != standby && !shortages.contains(pool)) {
+      this->SelectReleases(pool, vms, total_shortage, available, plan.release);
     }
   }
   for (const SizerVm& vm : vms) {
     if (vm.pool == standby && !vm.is_pinned && !standby.IsEmpty()) {
-      supply.off.push_back(&vm);
+      available.switched_off.push_back(&vm);
     }
   }
-  Share(missing, supply, step);
+  AssignVms(shortages, available, plan);
   if (!standby.IsEmpty()) {
-    for (const SizerVm* vm : supply.spare) {
-      step.moves.push_back({vm->id, standby});
+    for (const SizerVm* vm : available.spare) {
+      plan.moves.push_back({vm->id, standby});
     }
   }
-  return step;
+  return plan;
 }
 
 }  // namespace chervilspar::jobs
--- a/src/jobs/progress.cc
+++ b/src/jobs/progress.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// A row is stored as a list, in this order.
+/// The columns of a row, in the order in which they are stored.
 enum Column : std::size_t {
   kOccurrence,
   kStep,
@@ -26,7 +26,7 @@
   kEndpoint,
   kBorn,
   kCheckpoint,
-  kColumns
+  kColumnCount
 };
 
 constexpr std::array<const char*, 5> kPhaseNames = {"queued", "running", "complete", "failed",
@@ -35,7 +35,7 @@
 constexpr const char* kColumnNames[] = {"occurrence", "step",      "index",    "phase",
                                         "run",        "ended_run", "failures", "endpoint",
                                         "born_ms",    "checkpoint"};
-static_assert(std::size(kColumnNames) == kColumns);
+static_assert(std::size(kColumnNames) == kColumnCount);
 
 json::array EncodeRow(const TaskRow& row) {
   const TaskProgress& task = row.progress;
--- a/tests/jobs/job_test.cc
+++ b/tests/jobs/job_test.cc
@@ -39,18 +39,18 @@
   return job;
 }
 
-struct FaultCase {
+struct InvalidJobCase {
   const char* name;
-  std::function<void(Job&)> change;
-  /// The field that the reason names; null when the job is sound.
+  std::function<void(Job&)> modify;
+  /// The field that the reason names; null if the job is valid.
   const char* field;
 };
 
-class JobFaults : public ::testing::TestWithParam<FaultCase> {};
+class InvalidJobs : public ::testing::TestWithParam<InvalidJobCase> {};
 
-TEST_P(JobFaults, NameTheField) {
+TEST_P(InvalidJobs, NameTheField) {
   Job job = ValidJob();
-  GetParam().change(job);
+  GetParam().modify(job);
   const Status status = CheckJob(job);
   if (GetParam().field == nullptr) {
     EXPECT_TRUE(status);
@@ -61,34 +61,35 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Shapes, JobFaults,
+    Shapes, InvalidJobs,
     ::testing::Values(
-        FaultCase{"sound", [](Job&) {}, nullptr},
-        FaultCase{"no_steps", [](Job& job) { job.steps.clear(); }, "steps"},
-        FaultCase{"zero_count", [](Job& job) { job.steps[0].count = 0; }, "steps/0/count"},
-        FaultCase{"too_many_tasks", [](Job& job) { job.steps[0].count = kMaxTasks + 1; }, "steps"},
-        FaultCase{"huge_counts",
-                  [](Job& job) {
-                    job.steps[0].count = 0x7fffffff;
-                    job.steps.push_back(job.steps[0]);
-                    job.steps.push_back(job.steps[0]);
-                  },
-                  "steps"},
-        FaultCase{"long_payload", [](Job& job) { job.payload.assign(4001, 'x'); }, "payload"},
-        FaultCase{"largest_payload", [](Job& job) { job.payload.assign(4000, 'x'); }, nullptr},
-        FaultCase{"after_itself", [](Job& job) { job.steps[0].after = {0}; }, "steps/0/after"},
-        FaultCase{"after_a_later_one",
-                  [](Job& job) {
-                    job.steps.push_back(job.steps[0]);
-                    job.steps[0].after = {1};
-                  },
-                  "steps/0/after"},
-        FaultCase{"negative_cpu", [](Job& job) { job.steps[0].need.cpu = -1; }, "steps/0"},
-        FaultCase{"negative_estimate", [](Job& job) { job.steps[0].estimate_ms = -1; },
-                  "steps/0/estimate"}),
+        InvalidJobCase{"valid", [](Job&) {}, nullptr},
+        InvalidJobCase{"no_steps", [](Job& job) { job.steps.clear(); }, "steps"},
+        InvalidJobCase{"zero_count", [](Job& job) { job.steps[0].count = 0; }, "steps/0/count"},
+        InvalidJobCase{"too_many_tasks", [](Job& job) { job.steps[0].count = kMaxTasks + 1; },
+                       "steps"},
+        InvalidJobCase{"huge_counts",
+                       [](Job& job) {
+                         job.steps[0].count = 0x7fffffff;
+                         job.steps.push_back(job.steps[0]);
+                         job.steps.push_back(job.steps[0]);
+                       },
+                       "steps"},
+        InvalidJobCase{"long_payload", [](Job& job) { job.payload.assign(4001, 'x'); }, "payload"},
+        InvalidJobCase{"largest_payload", [](Job& job) { job.payload.assign(4000, 'x'); }, nullptr},
+        InvalidJobCase{"after_itself", [](Job& job) { job.steps[0].after = {0}; }, "steps/0/after"},
+        InvalidJobCase{"after_a_later_one",
+                       [](Job& job) {
+                         job.steps.push_back(job.steps[0]);
+                         job.steps[0].after = {1};
+                       },
+                       "steps/0/after"},
+        InvalidJobCase{"negative_cpu", [](Job& job) { job.steps[0].need.cpu = -1; }, "steps/0"},
+        InvalidJobCase{"negative_estimate", [](Job& job) { job.steps[0].estimate_ms = -1; },
+                       "steps/0/estimate"}),
     [](const auto& info) { return info.param.name; });
 
-rc::Gen<Step> AnyStep() {
+rc::Gen<Step> ArbitraryStep() {
   return rc::gen::exec([] {
     Step step;
     step.count = *rc::gen::inRange<std::uint32_t>(1, 20);
@@ -119,7 +120,7 @@
   job.service = ServiceId{"s"};
   job.team = TeamId{"t"};
   job.payload = *rc::gen::container<std::string>(rc::gen::inRange<char>(' ', '~'));
-  job.steps = *rc::gen::nonEmpty(rc::gen::container<std::vector<Step>>(AnyStep()));
+  job.steps = *rc::gen::nonEmpty(rc::gen::container<std::vector<Step>>(ArbitraryStep()));
   job.accepted_ms = *rc::gen::inRange<std::int64_t>(0, 1LL << 50);
   for (std::uint32_t i = 1; i < job.steps.size(); ++i) {
     job.steps[i].after = {i - 1};
@@ -129,7 +130,7 @@
   RC_ASSERT(*read == job);
 }
 
-/// Another writer's bytes, or a record that was cut short, must not end the process.
+/// A truncated record, or one of another writer, must not crash the process.
 RC_GTEST_PROP(JobCodec, RefusesBytesThatAreNoJob, (const std::string& bytes)) {
   RC_ASSERT(!DecodeJob(bytes).HasValue());
 }
@@ -137,11 +138,11 @@
 RC_GTEST_PROP(JobCodec, SurvivesAChangedByte, ()) {
   const std::string text = EncodeJob(ValidJob());
   std::string changed = text;
-  const auto place = *rc::gen::inRange<std::size_t>(0, text.size());
-  changed[place] = *rc::gen::arbitrary<char>();
+  const auto position = *rc::gen::inRange<std::size_t>(0, text.size());
+  changed[position] = *rc::gen::arbitrary<char>();
   const Result<Job> read = DecodeJob(changed);
-  const bool is_sound = !read || CheckJob(*read).HasValue();
-  RC_ASSERT(is_sound);
+  const bool is_valid = !read || CheckJob(*read).HasValue();
+  RC_ASSERT(is_valid);
 }
 
 }  // namespace
--- a/tests/jobs/overload_plan_test.cc
+++ b/tests/jobs/overload_plan_test.cc
@@ -25,78 +25,78 @@
     return OverloadPlan::SelectJobsToAbandon(this->jobs, 10000, this->weights);
   }
 
-  int KeptOf(const std::string& team) const {
-    const std::set<JobId> given_up = this->SelectJobsToAbandon();
+  int KeptJobsOf(const std::string& team) const {
+    const std::set<JobId> abandoned = this->SelectJobsToAbandon();
     return static_cast<int>(std::count_if(
         this->jobs.begin(), this->jobs.end(),
-        [&](const auto& job) { return job.team.text == team && !given_up.contains(job.job); }));
+        [&](const auto& job) { return job.team.text == team && !abandoned.contains(job.job); }));
   }
 
-  /// Jobs that begin in time when all that are kept are served in the order of their slack, and
-  /// when all are.
-  int InTime(const std::set<JobId>& given_up) const {
+  /// Counts the jobs that are done within their slack if all except `abandoned` are served in the
+  /// order of their slack.
+  int CountInTime(const std::set<JobId>& abandoned) const {
     double work = 0;
-    int in_time = 0;
+    int in_time_count = 0;
     for (const UrgentJob& job : this->jobs) {
-      if (given_up.contains(job.job)) {
+      if (abandoned.contains(job.job)) {
         continue;
       }
       work += job.work;
-      in_time += work / 10000 <= job.slack_ms ? 1 : 0;
+      in_time_count += work / 10000 <= job.slack_ms ? 1 : 0;
     }
-    return in_time;
+    return in_time_count;
   }
 
   std::vector<UrgentJob> jobs;
   std::map<TeamId, double> weights;
 };
 
-/// The pool can do all in time: nobody is given up.
-TEST(OverloadPlan, GivesUpNobodyWhenAllFit) {
+/// The pool can finish all jobs on time, so none is abandoned.
+TEST(OverloadPlan, AbandonsNoJobIfAllFit) {
   Overload world;
   world.Add("counter", 10, 2000, 2);
   EXPECT_TRUE(world.SelectJobsToAbandon().empty());
 }
 
-/// A burst of twice what the pool can do. Served in the order of their latest start, the first half
-/// fits only by luck of their order; the plan keeps as many as fit.
+/// A burst of twice the pool's capacity. In the order of the latest start, the first half would fit
+/// only by chance; the plan keeps as many jobs as fit.
 TEST(OverloadPlan, KeepsAsManyAsFit) {
   Overload world;
   world.Add("counter", 20, 2000, 2);
-  EXPECT_EQ(world.KeptOf("counter"), 10);
-  EXPECT_EQ(world.InTime(world.SelectJobsToAbandon()), 10);
+  EXPECT_EQ(world.KeptJobsOf("counter"), 10);
+  EXPECT_EQ(world.CountInTime(world.SelectJobsToAbandon()), 10);
 }
 
-/// Large jobs at the front make every small one behind them late.
-TEST(OverloadPlan, GivesUpOneLargeJobForManySmallOnes) {
+/// A large job at the front makes the small ones behind it late.
+TEST(OverloadPlan, AbandonsOneLargeJobForManySmallOnes) {
   Overload world;
   world.Add("counter", 1, 1000, 9);
   world.Add("counter", 9, 1200, 1);
-  EXPECT_LT(world.InTime({}), 5);
-  EXPECT_EQ(world.KeptOf("counter"), 9);
+  EXPECT_LT(world.CountInTime({}), 5);
+  EXPECT_EQ(world.KeptJobsOf("counter"), 9);
 }
 
-/// One team sends ten times what the other does. The other's few jobs must not be late for that.
-TEST(OverloadPlan, AHotTeamDoesNotCrowdOutTheOthers) {
+/// One team submits ten times as much as another, whose few jobs must still be on time.
+TEST(OverloadPlan, ABusyTeamDoesNotCrowdOutTheOthers) {
   Overload world;
   world.Add("hot", 40, 2000, 1);
   world.Add("counter", 4, 2000, 1);
-  EXPECT_EQ(world.KeptOf("counter"), 4);
-  EXPECT_EQ(world.KeptOf("hot"), 16);
+  EXPECT_EQ(world.KeptJobsOf("counter"), 4);
+  EXPECT_EQ(world.KeptJobsOf("hot"), 16);
 }
 
-/// Both teams send more than fits: each keeps its part by weight.
-TEST(OverloadPlan, TeamsKeepTheirPartsByWeight) {
+/// Both teams submit more than fits, and each keeps its share by weight.
+TEST(OverloadPlan, TeamsKeepSharesByWeight) {
   Overload world;
   world.weights = {{TeamId{"large"}, 3}, {TeamId{"small"}, 1}};
   world.Add("large", 40, 2000, 1);
   world.Add("small", 40, 2000, 1);
-  EXPECT_NEAR(world.KeptOf("large"), 15, 1);
-  EXPECT_NEAR(world.KeptOf("small"), 5, 1);
+  EXPECT_NEAR(world.KeptJobsOf("large"), 15, 1);
+  EXPECT_NEAR(world.KeptJobsOf("small"), 5, 1);
 }
 
-/// A pool whose VMs are all gone can serve nobody in time, and the plan ends all the same.
-TEST(OverloadPlan, GivesUpAllWithoutCpu) {
+/// A pool without VMs can't serve any job on time; the plan must still terminate.
+TEST(OverloadPlan, AbandonsAllWithoutCpu) {
   Overload world;
   world.Add("counter", 3, 2000, 1);
   EXPECT_EQ(OverloadPlan::SelectJobsToAbandon(world.jobs, 0, {}).size(), 3U);
--- a/tests/jobs/pool_sizer_test.cc
+++ b/tests/jobs/pool_sizer_test.cc
@@ -36,30 +36,31 @@
     }
   }
 
-  /// Jobs of so many cores' work arrive for `span`; then one plan.
-  SizerPlan After(Duration span, double desk_cores, double fleet_cores) {
-    SizerPlan step;
+  /// Plans every 250 ms while jobs that need this many cores arrive for `duration`. Returns the
+  /// last plan.
+  SizerPlan PlanAfter(Duration duration, double desk_cores, double fleet_cores) {
+    SizerPlan plan;
     const Duration tick = milliseconds(250);
-    for (Duration passed{}; passed < span; passed += tick) {
+    for (Duration passed{}; passed < duration; passed += tick) {
       this->now += tick;
       const double ms = std::chrono::duration<double, std::milli>(tick).count();
       this->Arrive(kDesk, desk_cores * 1000 * ms);
       this->Arrive(kFleet, fleet_cores * 1000 * ms);
-      step = this->sizer.Plan(this->now, this->loads, this->vms, kOff);
+      plan = this->sizer.Plan(this->now, this->loads, this->vms, kOff);
     }
-    return step;
+    return plan;
   }
 
-  /// Many small jobs of so much work together.
+  /// Adds many small jobs with this total work.
   void Arrive(const ServiceId& pool, double work) {
-    constexpr double kWorkOfOne = 1000 * 1000;
+    constexpr double kWorkPerJob = 1000 * 1000;
     this->loads[pool].cpu.arrived += work;
-    this->loads[pool].arrived_jobs += work / kWorkOfOne;
+    this->loads[pool].arrived_jobs += work / kWorkPerJob;
   }
 
-  std::size_t MovesTo(const SizerPlan& step, const ServiceId& pool) const {
+  std::size_t MovesTo(const SizerPlan& plan, const ServiceId& pool) const {
     return static_cast<std::size_t>(
-        std::count_if(step.moves.begin(), step.moves.end(),
+        std::count_if(plan.moves.begin(), plan.moves.end(),
                       [&](const SizerPlan::Move& move) { return move.to == pool; }));
   }
 
@@ -69,7 +70,7 @@
   std::vector<SizerVm> vms;
 };
 
-/// How many VMs of ten go where when one pool's demand changes, by turns of several seconds.
+/// The moves among ten VMs after several seconds of constant demand.
 struct DemandCase {
   const char* name;
   double desk_cores;
@@ -82,176 +83,176 @@
 
 TEST_P(Demand, MovesVmsToWhereTheyAreNeeded) {
   SizerWorld world;
-  const SizerPlan step =
-      world.After(std::chrono::seconds(6), GetParam().desk_cores, GetParam().fleet_cores);
-  EXPECT_EQ(world.MovesTo(step, kDesk), GetParam().to_desk);
-  EXPECT_EQ(world.MovesTo(step, kOff), GetParam().to_standby);
+  const SizerPlan plan =
+      world.PlanAfter(std::chrono::seconds(6), GetParam().desk_cores, GetParam().fleet_cores);
+  EXPECT_EQ(world.MovesTo(plan, kDesk), GetParam().to_desk);
+  EXPECT_EQ(world.MovesTo(plan, kOff), GetParam().to_standby);
 }
 
-INSTANTIATE_TEST_SUITE_P(Turns, Demand,
+INSTANTIATE_TEST_SUITE_P(Cases, Demand,
                          ::testing::Values(DemandCase{"all_idle", 0, 0, 0, 2},
                                            DemandCase{"both_need_all", 28, 28, 0, 0},
                                            DemandCase{"one_at_its_peak", 50, 2, 3, 0},
                                            DemandCase{"far_over_all", 200, 2, 3, 0}),
                          [](const auto& info) { return info.param.name; });
 
-/// One pool's peak ends as another's begins. VMs that the first keeps for a lull must not be kept
-/// from the second, whose callers would wait while they idle.
+/// One pool's peak ends when another's starts. VMs that the first pool retains for a lull must be
+/// lent to the second, whose callers would otherwise wait while the VMs are idle.
 TEST(PoolSizer, LendsIdleVmsAtOnceToAPoolThatLacksThem) {
   SizerWorld world;
-  world.After(std::chrono::seconds(4), 29, 0);
-  const SizerPlan step = world.After(std::chrono::seconds(1), 0, 60);
+  world.PlanAfter(std::chrono::seconds(4), 29, 0);
+  const SizerPlan plan = world.PlanAfter(std::chrono::seconds(1), 0, 60);
   EXPECT_EQ(world.sizer.TargetSize(kDesk), 4);
-  EXPECT_EQ(world.MovesTo(step, kFleet), 3U);
-  EXPECT_EQ(world.MovesTo(step, kOff), 0U);
+  EXPECT_EQ(world.MovesTo(plan, kFleet), 3U);
+  EXPECT_EQ(world.MovesTo(plan, kOff), 0U);
 }
 
-/// A new owner knows nothing of the demand. Without this it sends away, in the middle of a peak,
-/// the VMs that its predecessor brought.
+/// Guards against a new owner that doesn't know the demand yet and removes, in the middle of a
+/// peak, the VMs that the previous owner ordered.
 TEST(PoolSizer, KeepsTheSizesThatItFinds) {
   SizerWorld world;
-  const SizerPlan step = world.After(milliseconds(750), 0, 0);
-  EXPECT_TRUE(step.moves.empty());
-  EXPECT_TRUE(step.release.empty());
+  const SizerPlan plan = world.PlanAfter(milliseconds(750), 0, 0);
+  EXPECT_TRUE(plan.moves.empty());
+  EXPECT_TRUE(plan.release.empty());
   EXPECT_EQ(world.sizer.TargetSize(kDesk), 4);
 }
 
-/// A queue that was idle gets thirty times its usual within a moment. The VMs have to be ordered
-/// within half a second: they take two seconds to come, and a short job's slack is one.
+/// The demand of an idle queue suddenly rises to thirty times its usual. The VMs must be ordered
+/// within half a second because they take two seconds to arrive and a short job has a slack of one
+/// second.
 TEST(PoolSizer, OrdersVmsWithinHalfASecondOfAPeaksBeginning) {
   SizerWorld world;
-  world.After(std::chrono::seconds(6), 1, 1);
-  const SizerPlan step = world.After(milliseconds(500), 50, 1);
-  EXPECT_GE(world.MovesTo(step, kDesk), 2U);
+  world.PlanAfter(std::chrono::seconds(6), 1, 1);
+  const SizerPlan plan = world.PlanAfter(milliseconds(500), 50, 1);
+  EXPECT_GE(world.MovesTo(plan, kDesk), 2U);
   EXPECT_GE(world.sizer.TargetSize(kDesk), 6);
 }
 
-/// One large job comes to an idle queue. It can use ten cores at once; VMs for as many such jobs as
-/// would come if this were the beginning of a peak cost more than the job is worth.
+/// One large job arrives at an idle queue. It can use ten cores at once. VMs for as many such jobs
+/// as would arrive at the start of a peak would cost more than the job is worth.
 TEST(PoolSizer, OneLargeJobIsNoPeak) {
   SizerWorld world;
   world.AddSwitchedOff(50);
-  world.After(std::chrono::seconds(6), 0, 0);
+  world.PlanAfter(std::chrono::seconds(6), 0, 0);
   PoolLoad& load = world.loads[kDesk];
   load.cpu.arrived += 40 * 1000 * 1000;
   load.arrived_jobs += 1;
   load.cpu.waiting = {{2500, 40 * 1000 * 1000}};
   load.cpu.concurrent_demand = 10 * 1000;
-  world.After(milliseconds(250), 0, 0);
+  world.PlanAfter(milliseconds(250), 0, 0);
   EXPECT_LE(world.sizer.TargetSize(kDesk), 13) << "a peak of this rate would need 49";
 }
 
-/// What waits in one pool of four VMs, each with 7.5 cores that are counted on.
+/// Waiting work of a pool of four VMs with 7.5 usable cores each.
 struct BacklogCase {
   const char* name;
   double slack_ms;
-  /// In seconds of one core.
+  /// In core seconds.
   double work;
   double at_once_cores;
-  int wanted;
+  int target;
 };
 
 class Backlog : public ::testing::TestWithParam<BacklogCase> {};
 
-/// Jobs have piled up behind a fault or a take-over, and no more come. VMs are worth their price
-/// only for those that a VM ordered now still brings to their end in time, and only as many as can
-/// work at once; idle ones would be paid for and moved away again.
-TEST_P(Backlog, BuysVmsForWhatTheyCanBringInTime) {
+/// Jobs have accumulated during a fault or a change of the owner, and no more arrive. VMs are worth
+/// their price only for jobs that a VM ordered now can still finish on time, and only as many as
+/// can work at the same time. Idle ones would be paid for and moved away again.
+TEST_P(Backlog, OrdersVmsOnlyForWorkThatTheyFinishOnTime) {
   SizerWorld world;
-  world.After(std::chrono::seconds(6), 0, 0);
+  world.PlanAfter(std::chrono::seconds(6), 0, 0);
   PoolLoad& load = world.loads[kDesk];
   load.cpu.waiting = {{GetParam().slack_ms, GetParam().work * 1000 * 1000}};
   load.cpu.concurrent_demand = GetParam().at_once_cores * 1000;
-  world.After(milliseconds(250), 0, 0);
-  EXPECT_EQ(world.sizer.TargetSize(kDesk), GetParam().wanted);
+  world.PlanAfter(milliseconds(250), 0, 0);
+  EXPECT_EQ(world.sizer.TargetSize(kDesk), GetParam().target);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Work, Backlog,
     ::testing::Values(BacklogCase{"nothing", 5000, 0, 0, 3},
-                      BacklogCase{"what_is_there_does_it", 20000, 60, 200, 3},
-                      BacklogCase{"a_vm_comes_in_time", 10000, 340, 200, 9},
-                      BacklogCase{"it_can_use_six_vms_at_once", 10000, 400, 45, 6},
-                      BacklogCase{"a_vm_would_come_too_late", 1000, 400, 200, 4},
-                      BacklogCase{"late_already", -1, 90, 200, 3}),
+                      BacklogCase{"current_vms_suffice", 20000, 60, 200, 3},
+                      BacklogCase{"a_vm_arrives_in_time", 10000, 340, 200, 9},
+                      BacklogCase{"uses_at_most_six_vms_at_once", 10000, 400, 45, 6},
+                      BacklogCase{"a_vm_would_arrive_too_late", 1000, 400, 200, 4},
+                      BacklogCase{"already_late", -1, 90, 200, 3}),
     [](const auto& info) { return info.param.name; });
 
-/// A zone is cut off as a peak begins. Its VMs take no work, and one that is ordered there brings
-/// nothing; the callers would wait for it for four seconds before another is ordered in its place.
-/// The same for a zone that is cordoned.
+/// A zone is cut off when a peak starts. Its VMs take no work, and callers would wait four seconds
+/// for a VM ordered there before another is ordered instead. The same holds for a cordoned zone.
 struct ZoneCase {
   const char* name;
-  bool is_dark;
+  bool is_unreachable;
   bool is_cordoned;
 };
 
 class UnusableZone : public ::testing::TestWithParam<ZoneCase> {};
 
 TEST_P(UnusableZone, GetsNoVms) {
-  const bool is_unusable = GetParam().is_dark || GetParam().is_cordoned;
+  const bool is_unusable = GetParam().is_unreachable || GetParam().is_cordoned;
   SizerWorld world;
   for (SizerVm& vm : world.vms) {
     const bool is_east = vm.id == VmId{"m0"} || vm.id == VmId{"m8"};
     vm.zone = ZoneId{is_east ? "east" : "west"};
-    vm.is_silent = GetParam().is_dark && vm.id == VmId{"m0"};
+    vm.is_silent = GetParam().is_unreachable && vm.id == VmId{"m0"};
     vm.is_cordoned = GetParam().is_cordoned && is_east;
     vm.is_empty = vm.pool != kDesk;
   }
-  const SizerPlan step = world.After(std::chrono::seconds(6), 60, 2);
+  const SizerPlan plan = world.PlanAfter(std::chrono::seconds(6), 60, 2);
   const auto is_in_east = [](const SizerPlan::Move& move) { return move.vm == VmId{"m8"}; };
-  EXPECT_EQ(std::none_of(step.moves.begin(), step.moves.end(), is_in_east), is_unusable);
-  EXPECT_GE(world.MovesTo(step, kDesk), 1U);
+  EXPECT_EQ(std::none_of(plan.moves.begin(), plan.moves.end(), is_in_east), is_unusable);
+  EXPECT_GE(world.MovesTo(plan, kDesk), 1U);
 }
 
 INSTANTIATE_TEST_SUITE_P(Zones, UnusableZone,
                          ::testing::Values(ZoneCase{"open", false, false},
-                                           ZoneCase{"dark", true, false},
+                                           ZoneCase{"unreachable", true, false},
                                            ZoneCase{"cordoned", false, true}),
                          [](const auto& info) { return info.param.name; });
 
-/// A VM that runs long-running work, or is taken by a wave, must not be emptied for a move.
-TEST(PoolSizer, LeavesAloneWhatCantMove) {
+/// A VM that runs long-running tasks or is part of a wave must not be emptied for a move.
+TEST(PoolSizer, KeepsVmsThatMustNotMove) {
   SizerWorld world;
   for (SizerVm& vm : world.vms) {
     vm.has_long_running = vm.pool == kDesk;
     vm.is_pinned = vm.pool == kFleet;
   }
-  const SizerPlan step = world.After(std::chrono::seconds(6), 0, 0);
-  EXPECT_TRUE(step.release.empty());
-  EXPECT_TRUE(step.moves.empty());
+  const SizerPlan plan = world.PlanAfter(std::chrono::seconds(6), 0, 0);
+  EXPECT_TRUE(plan.release.empty());
+  EXPECT_TRUE(plan.moves.empty());
 }
 
-/// A busy VM is emptied first; moving it would cut what it runs.
+/// A busy VM is released and becomes empty before it moves; moving it would abort its tasks.
 TEST(PoolSizer, MovesOnlyEmptyVms) {
   SizerWorld world;
   for (SizerVm& vm : world.vms) {
     vm.is_empty = false;
   }
-  const SizerPlan step = world.After(std::chrono::seconds(6), 0, 0);
-  EXPECT_EQ(step.release.size(), 2U);
-  EXPECT_TRUE(step.moves.empty());
+  const SizerPlan plan = world.PlanAfter(std::chrono::seconds(6), 0, 0);
+  EXPECT_EQ(plan.release.size(), 2U);
+  EXPECT_TRUE(plan.moves.empty());
 }
 
-/// Tasks that must stand apart need as many endpoints as that takes, however little cpu they use;
-/// and one that waits although there is cpu lacks something else, such as memory.
+/// Tasks with a limit per endpoint need a minimum number of endpoints, however little cpu they use.
+/// A task that waits although cpu is free lacks something else, such as memory.
 TEST(PoolSizer, GrowsForLongRunningTasksThatFindNoEndpoint) {
   struct Case {
     int min_endpoints;
     int waiting;
-    int wanted;
+    int target;
   };
   for (const Case& one : {Case{0, 0, 3}, Case{6, 0, 6}, Case{0, 1, 5}}) {
     SizerWorld world;
     world.loads[kDesk].min_endpoints = one.min_endpoints;
     world.loads[kDesk].waiting_long_running = one.waiting;
-    // Long enough that the size which the sizer found at first no longer counts.
-    world.After(std::chrono::seconds(5), 0, 0);
-    EXPECT_EQ(world.sizer.TargetSize(kDesk), one.wanted) << one.min_endpoints;
+    // Long enough that the initial size no longer counts.
+    world.PlanAfter(std::chrono::seconds(5), 0, 0);
+    EXPECT_EQ(world.sizer.TargetSize(kDesk), one.target) << one.min_endpoints;
   }
 }
 
-/// Long-running tasks take most of a VM's memory and little of its cpu. Sized by cpu alone, the
-/// pool stays at its least while tasks wait for memory.
+/// Long-running tasks use most of a VM's memory and little of its cpu. If sized by cpu alone, the
+/// pool would stay at its minimum while tasks wait for memory.
 TEST(PoolSizer, SizesByTheResourceThatBinds) {
   SizerWorld world;
   for (SizerVm& vm : world.vms) {
@@ -259,23 +260,23 @@
   }
   world.loads[kDesk].cpu.long_running = 10 * 1000;
   world.loads[kDesk].memory.long_running = 500;
-  world.After(std::chrono::seconds(5), 0, 0);
+  world.PlanAfter(std::chrono::seconds(5), 0, 0);
   EXPECT_EQ(world.sizer.TargetSize(kDesk), 7);
 }
 
-/// One pool lacks hundreds of VMs for its peak, another one for a task that serves users. Served by
-/// what they lack, the second waits until the first has all that there are.
+/// One pool lacks hundreds of VMs in a peak, and another lacks one VM for a task that serves users.
+/// If the largest shortage came first, the second pool would wait until the first has all VMs.
 TEST(PoolSizer, APoolThatLacksOneVmIsNotStarved) {
   SizerWorld world;
   world.loads[kFleet].min_endpoints = 5;
-  const SizerPlan step = world.After(std::chrono::seconds(3), 200, 0);
-  EXPECT_EQ(world.MovesTo(step, kFleet), 1U);
-  EXPECT_GE(world.MovesTo(step, kDesk), 1U);
+  const SizerPlan plan = world.PlanAfter(std::chrono::seconds(3), 200, 0);
+  EXPECT_EQ(world.MovesTo(plan, kFleet), 1U);
+  EXPECT_GE(world.MovesTo(plan, kDesk), 1U);
 }
 
-/// One pool is full of work that is late already, another's peak begins and all VMs are taken. What
-/// would be on time becomes late, too, while late work keeps its VMs.
-TEST(PoolSizer, LateWorkGivesWayToAnotherPoolsPeak) {
+/// One pool is full of work that is already late when another's peak starts and no VM is free. If
+/// late work kept its VMs, the work of the other pool would become late, too.
+TEST(PoolSizer, LateWorkYieldsToAnotherPoolsPeak) {
   for (const bool is_late : {false, true}) {
     SizerWorld world;
     for (SizerVm& vm : world.vms) {
@@ -288,18 +289,18 @@
     fleet.running_late = is_late ? fleet.running : 0;
     fleet.waiting = {{500, 1000}};
     fleet.concurrent_demand = 6 * 10 * 1000;
-    const SizerPlan step = world.After(std::chrono::seconds(3), 60, 0);
-    EXPECT_EQ(!step.release.empty(), is_late);
+    const SizerPlan plan = world.PlanAfter(std::chrono::seconds(3), 60, 0);
+    EXPECT_EQ(!plan.release.empty(), is_late);
   }
 }
 
-/// A short lull in a peak must not send VMs away that are needed again at once: each way costs as
+/// VMs must not leave in a short lull of a peak when they are needed again soon: each move costs as
 /// much as two seconds of the VM.
 TEST(PoolSizer, KeepsVmsThroughALull) {
   SizerWorld world;
-  world.After(std::chrono::seconds(4), 28, 0);
-  const SizerPlan step = world.After(milliseconds(750), 0, 0);
-  for (const SizerPlan::Move& move : step.moves) {
+  world.PlanAfter(std::chrono::seconds(4), 28, 0);
+  const SizerPlan plan = world.PlanAfter(milliseconds(750), 0, 0);
+  for (const SizerPlan::Move& move : plan.moves) {
     EXPECT_NE(move.vm.text.substr(0, 2), "m0");
   }
   EXPECT_EQ(world.sizer.TargetSize(kDesk), 4);
--- a/tests/jobs/progress_test.cc
+++ b/tests/jobs/progress_test.cc
@@ -28,7 +28,7 @@
           .checkpoint = checkpoint};
 }
 
-/// Progress as it is stored in each form. Other versions read these texts.
+/// Progress as it is stored in each format. Other versions of the program read these texts.
 struct StoredCase {
   const char* name;
   JobProgress progress;
@@ -38,12 +38,12 @@
 
 class StoredProgress : public ::testing::TestWithParam<StoredCase> {};
 
-TEST_P(StoredProgress, HasItsTextInEachForm) {
+TEST_P(StoredProgress, HasItsTextInEachFormat) {
   EXPECT_EQ(EncodeProgress(GetParam().progress, ProgressForm::kRows), GetParam().rows);
   EXPECT_EQ(EncodeProgress(GetParam().progress, ProgressForm::kCompact), GetParam().compact);
 }
 
-TEST_P(StoredProgress, IsReadInEachForm) {
+TEST_P(StoredProgress, IsDecodedFromEachFormat) {
   for (const char* text : {GetParam().rows, GetParam().compact}) {
     const Result<JobProgress> read = DecodeProgress(text);
     ASSERT_TRUE(read) << text << ": " << ToString(read.LastReason());
@@ -69,7 +69,7 @@
      R"({"phase":1,"rows":[[0,0,0,1,1,0,0,"i-8",170,""],[0,0,1,2,1,0,0,"",0,""],)"
      R"([0,0,2,1,1,0,0,"i-7",175,""]]})",
      R"([1,["i-8",170,"i-7",5],[[1,0,[5],[0,1]],[2,0,[2]]]])"},
-    {"a_life_later_and_checkpoints",
+    {"restarted_endpoint_and_checkpoints",
      {.phase = JobPhase::kRunning,
       .rows = {Row(0, 0, Placed("i-7", 170, 1, "0a")), Row(0, 1, Placed("i-7", 175, 1, "0b"))}},
      R"({"phase":1,"rows":[[0,0,0,1,1,0,0,"i-7",170,"0a"],[0,0,1,1,1,0,0,"i-7",175,"0b"]]})",
@@ -88,17 +88,17 @@
 INSTANTIATE_TEST_SUITE_P(Forms, StoredProgress, ::testing::ValuesIn(kStoredCases),
                          [](const auto& info) { return info.param.name; });
 
-/// A record that is cut short, of a later version or of another writer.
+/// A record that is truncated, or was written by a later version or another writer.
 struct UnreadableCase {
   const char* name;
   const char* text;
-  /// What the reason names; empty for the record as a whole.
+  /// The field that the reason names; empty for the record as a whole.
   const char* field;
 };
 
 class UnreadableProgress : public ::testing::TestWithParam<UnreadableCase> {};
 
-TEST_P(UnreadableProgress, IsRefusedByTheFieldsName) {
+TEST_P(UnreadableProgress, IsRejectedWithTheFieldsName) {
   const Result<JobProgress> read = DecodeProgress(GetParam().text);
   ASSERT_FALSE(read);
   EXPECT_EQ(read.LastReason().field, GetParam().field);
@@ -107,14 +107,14 @@
 INSTANTIATE_TEST_SUITE_P(
     Shapes, UnreadableProgress,
     ::testing::Values(
-        UnreadableCase{"nothing", "", ""}, UnreadableCase{"a_number", "1", ""},
-        UnreadableCase{"cut_short", R"({"phase":1,"rows":[[0,0)", ""},
+        UnreadableCase{"empty", "", ""}, UnreadableCase{"a_number", "1", ""},
+        UnreadableCase{"truncated", R"({"phase":1,"rows":[[0,0)", ""},
         UnreadableCase{"unknown_job_phase", R"({"phase":5})", "phase"},
-        UnreadableCase{"end_in_words", R"({"phase":2,"ended_ms":"now"})", "ended_ms"},
+        UnreadableCase{"end_time_is_a_string", R"({"phase":2,"ended_ms":"now"})", "ended_ms"},
         UnreadableCase{"occurrence_below_0", R"({"phase":1,"complete":[-1]})", "complete"},
-        UnreadableCase{"rows_that_are_none", R"({"phase":1,"rows":3})", "rows"},
-        UnreadableCase{"row_that_is_none", R"({"phase":1,"rows":[3]})", "rows/0"},
-        UnreadableCase{"row_cut_short",
+        UnreadableCase{"rows_is_a_number", R"({"phase":1,"rows":3})", "rows"},
+        UnreadableCase{"row_is_a_number", R"({"phase":1,"rows":[3]})", "rows/0"},
+        UnreadableCase{"truncated_row",
                        R"({"phase":1,"rows":[[0,0,0,1,1,0,0,"i-7",1,""],[0,0,1,1,1]]})",
                        "rows/1/ended_run"},
         UnreadableCase{"unknown_task_phase", R"({"phase":1,"rows":[[0,0,0,4,1,0,0,"i-7",1,""]]})",
@@ -122,23 +122,25 @@
         UnreadableCase{"empty_list", "[]", "phase"}, UnreadableCase{"phase_alone", "[1]", "groups"},
         UnreadableCase{"no_groups", "[1,[],[]]", "groups"},
         UnreadableCase{"unknown_phase_of_compact", "[7,[],[[2,0,[1]]]]", "phase"},
-        UnreadableCase{"endpoint_without_birth", R"([1,["i-7"],[[1,0,[1],[0]]]])", "endpoints"},
+        UnreadableCase{"endpoint_without_start_time", R"([1,["i-7"],[[1,0,[1],[0]]]])",
+                       "endpoints"},
         UnreadableCase{"endpoint_is_a_number", "[1,[7,1],[[1,0,[1],[0]]]]", "endpoints/0"},
-        UnreadableCase{"birth_in_words", R"([1,["i-7","1"],[[1,0,[1],[0]]]])", "endpoints/1"},
+        UnreadableCase{"start_time_is_a_string", R"([1,["i-7","1"],[[1,0,[1],[0]]]])",
+                       "endpoints/1"},
         UnreadableCase{"unlisted_endpoint", R"([1,["i-7",1],[[1,0,[1],[1]]]])", "groups/0/at"},
-        UnreadableCase{"endpoint_for_too_few", R"([1,["i-7",1],[[1,0,[7],[0,0]]]])", "groups/0/at"},
+        UnreadableCase{"too_few_endpoints", R"([1,["i-7",1],[[1,0,[7],[0,0]]]])", "groups/0/at"},
         UnreadableCase{"group_without_step", "[1,[],[[2,0,[1]],[2]]]", "groups/1/tasks"},
-        UnreadableCase{"group_of_no_task", "[1,[],[[2,0,[0]]]]", "groups/0/tasks"},
+        UnreadableCase{"group_without_tasks", "[1,[],[[2,0,[0]]]]", "groups/0/tasks"},
         UnreadableCase{"bits_below_0", "[1,[],[[2,0,[-1]]]]", "groups/0/tasks/0"},
         UnreadableCase{"unknown_phase_in_group", "[1,[],[[9,0,[1]]]]", "groups/0/phase"},
         UnreadableCase{"checkpoint_is_a_number", "[1,[],[[0,0,[1],[],1,[7]]]]",
                        "groups/0/checkpoints"},
-        UnreadableCase{"failures_in_words", R"([1,[],[[0,0,[1],[],1,[],1,"x"]]])",
+        UnreadableCase{"failures_is_a_string", R"([1,[],[[0,0,[1],[],1,[],1,"x"]]])",
                        "groups/0/failures"}),
     [](const auto& info) { return info.param.name; });
 
-/// A record of another writer that names more tasks than any job has must not fill the memory.
-TEST(CompactProgress, RefusesMoreTasksThanAJobMayHave) {
+/// A record of another writer with more tasks than a job may have must not exhaust the memory.
+TEST(CompactProgress, RejectsMoreTasksThanAJobMayHave) {
   std::string bits = "1";
   for (std::uint32_t i = 0; i < kMaxTasks; ++i) {
     bits += ",1";
@@ -148,7 +150,7 @@
   EXPECT_EQ(read.LastReason().field, "groups/0/tasks");
 }
 
-rc::Gen<TaskProgress> AnyTask() {
+rc::Gen<TaskProgress> ArbitraryTask() {
   return rc::gen::exec([] {
     TaskProgress task;
     task.phase = static_cast<TaskPhase>(*rc::gen::inRange(0, 4));
@@ -163,20 +165,21 @@
   });
 }
 
-rc::Gen<JobProgress> AnyProgress() {
+rc::Gen<JobProgress> ArbitraryProgress() {
   return rc::gen::exec([] {
     JobProgress progress;
     progress.phase = static_cast<JobPhase>(*rc::gen::inRange(0, 5));
     progress.ended_ms = *rc::gen::element<std::int64_t>(0, 1733212345678);
     progress.complete_occurrences = *rc::gen::arbitrary<std::vector<std::uint32_t>>();
-    const auto places =
+    const auto positions =
         *rc::gen::container<std::set<std::tuple<std::uint32_t, std::uint32_t, std::uint32_t>>>(
             rc::gen::tuple(rc::gen::element<std::uint32_t>(0, 1, 0xffffffff),
                            rc::gen::inRange<std::uint32_t>(0, 3),
                            rc::gen::inRange<std::uint32_t>(0, kMaxTasks)));
-    // Few kinds of task, so that many are alike.
-    const auto kinds = *rc::gen::nonEmpty(rc::gen::container<std::vector<TaskProgress>>(AnyTask()));
-    for (const auto& [occurrence, step, index] : places) {
+    // Few kinds of tasks, so that many are equal.
+    const auto kinds =
+        *rc::gen::nonEmpty(rc::gen::container<std::vector<TaskProgress>>(ArbitraryTask()));
+    for (const auto& [occurrence, step, index] : positions) {
       const auto kind = *rc::gen::inRange<std::size_t>(0, kinds.size());
       progress.rows.push_back({occurrence, step, index, kinds[kind]});
     }
@@ -184,12 +187,12 @@
   });
 }
 
-rc::Gen<ProgressForm> AnyForm() {
+rc::Gen<ProgressForm> ArbitraryForm() {
   return rc::gen::element(ProgressForm::kRows, ProgressForm::kCompact);
 }
 
 RC_GTEST_PROP(ProgressCodec, ReadsBackWhatItWrote, ()) {
-  const JobProgress progress = *AnyProgress();
+  const JobProgress progress = *ArbitraryProgress();
   for (const ProgressForm form : {ProgressForm::kRows, ProgressForm::kCompact}) {
     const Result<JobProgress> read = DecodeProgress(EncodeProgress(progress, form));
     RC_ASSERT(read.HasValue());
@@ -197,46 +200,46 @@
   }
 }
 
-RC_GTEST_PROP(ProgressCodec, RefusesBytesThatAreNoProgress, (const std::string& bytes)) {
+RC_GTEST_PROP(ProgressCodec, RejectsBytesThatAreNoProgress, (const std::string& bytes)) {
   RC_ASSERT(!DecodeProgress(bytes).HasValue());
 }
 
-/// Another writer's bytes must not end the process; a record that is still read names real phases.
+/// A record of another writer must not crash the process. If it is decoded, its phases are valid.
 RC_GTEST_PROP(ProgressCodec, SurvivesAChangedByte, ()) {
-  std::string text = EncodeProgress(*AnyProgress(), *AnyForm());
-  const auto place = *rc::gen::inRange<std::size_t>(0, text.size());
-  text[place] = *rc::gen::arbitrary<char>();
+  std::string text = EncodeProgress(*ArbitraryProgress(), *ArbitraryForm());
+  const auto position = *rc::gen::inRange<std::size_t>(0, text.size());
+  text[position] = *rc::gen::arbitrary<char>();
   const Result<JobProgress> read = DecodeProgress(text);
-  const bool is_sound =
+  const bool is_valid =
       !read || std::all_of(read->rows.begin(), read->rows.end(), [](const TaskRow& row) {
         return row.progress.phase <= TaskPhase::kFailed;
       });
-  RC_ASSERT(is_sound);
+  RC_ASSERT(is_valid);
 }
 
-/// Which tasks of a job of two steps with 8 tasks have ended when its record is written.
+/// The tasks that have ended when the record of a job with two steps of eight tasks is written.
 struct SizeCase {
   const char* name;
   std::set<std::uint32_t> ended;
-  /// The most that the compact form may take of the bytes of the other.
-  double share;
+  /// The maximum ratio of the size of the compact format to that of the other.
+  double max_ratio;
 };
 
-/// Each job's progress is stored several times, and a successor reads all of it while leases lapse.
-/// On a narrow link renewals wait behind these bytes.
-class BytesOfAJob : public ::testing::TestWithParam<SizeCase> {
+/// The progress of each job is stored several times, and the next owner reads all of it while
+/// leases run out. On a link with low bandwidth, lease renewals wait behind these bytes.
+class StoredSize : public ::testing::TestWithParam<SizeCase> {
  protected:
-  static constexpr std::int64_t kBorn = 1733212345678;
-  static constexpr std::int64_t kBetweenBirths = 731;
+  static constexpr std::int64_t kFirstStartMs = 1733212345678;
+  static constexpr std::int64_t kStartIntervalMs = 731;
   static constexpr int kEndpoints = 6;
 
   static EndpointRecord Endpoint(int number) {
     EndpointRecord record = World::Endpoint("i-7f3a91c" + std::to_string(number), 64);
-    record.born_ms = kBorn + kBetweenBirths * number;
+    record.born_ms = kFirstStartMs + kStartIntervalMs * number;
     return record;
   }
 
-  /// The last record of the job, after what has ended was told.
+  /// The last record of the job, after the ended tasks have been reported.
   static std::string StoredIn(ProgressForm form, const std::set<std::uint32_t>& ended) {
     SchedulerOptions options;
     options.progress_form = form;
@@ -275,19 +278,19 @@
   }
 };
 
-TEST_P(BytesOfAJob, AreFewInTheCompactForm) {
+TEST_P(StoredSize, IsSmallInTheCompactFormat) {
   const std::string rows = StoredIn(ProgressForm::kRows, GetParam().ended);
   const std::string compact = StoredIn(ProgressForm::kCompact, GetParam().ended);
   EXPECT_EQ(*DecodeProgress(rows), *DecodeProgress(compact));
   RecordProperty("rows", static_cast<int>(rows.size()));
   RecordProperty("compact", static_cast<int>(compact.size()));
   EXPECT_LE(static_cast<double>(compact.size()),
-            GetParam().share * static_cast<double>(rows.size()))
-      << compact << "\nin place of " << rows;
+            GetParam().max_ratio * static_cast<double>(rows.size()))
+      << compact << "\ninstead of " << rows;
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    TwoStepsOfEight, BytesOfAJob,
+    TwoStepsOfEight, StoredSize,
     ::testing::Values(SizeCase{"first_step_placed", {}, 1.0 / 3},
                       SizeCase{"first_step_done_second_placed", {0, 1, 2, 3, 4, 5, 6, 7}, 1.0 / 3},
                       SizeCase{"each_second_task_done", {0, 2, 4, 6}, 0.4}),
--- a/tests/jobs/upkeep_test.cc
+++ b/tests/jobs/upkeep_test.cc
@@ -7,7 +7,7 @@
 namespace chervilspar::jobs {
 namespace {
 
-/// Eight VMs of one pool, all named by a wave that lets two go down at once.
+/// Eight VMs of one pool, all in a wave that lets two go down at once.
 class UpkeepWorld {
  public:
   UpkeepWorld() {
@@ -26,21 +26,21 @@
   }
 
   UpkeepPlan Plan() const {
-    return UpkeepPlanner::Plan(this->wave, this->progress, this->vms, this->absent,
+    return UpkeepPlanner::Plan(this->wave, this->progress, this->vms, this->unavailable,
                                this->evacuating, this->loads);
   }
 
   Wave wave;
   WaveProgress progress;
   std::vector<VmRecord> vms;
-  UpkeepPlanner::UnavailableVms absent;
+  UpkeepPlanner::UnavailableVms unavailable;
   std::set<VmId> evacuating;
   std::map<std::string, EndpointLoad> loads;
 };
 
 struct UpkeepCase {
   const char* name;
-  std::function<void(UpkeepWorld&)> change;
+  std::function<void(UpkeepWorld&)> modify;
   std::size_t evacuated;
   std::size_t rebooted;
   bool is_complete;
@@ -50,29 +50,29 @@
 
 TEST_P(UpkeepTable, PlansWithinItsLimits) {
   UpkeepWorld world;
-  GetParam().change(world);
-  const UpkeepPlan step = world.Plan();
-  EXPECT_EQ(step.evacuate.size(), GetParam().evacuated);
-  EXPECT_EQ(step.reboot.size(), GetParam().rebooted);
-  EXPECT_EQ(step.is_complete, GetParam().is_complete);
+  GetParam().modify(world);
+  const UpkeepPlan plan = world.Plan();
+  EXPECT_EQ(plan.evacuate.size(), GetParam().evacuated);
+  EXPECT_EQ(plan.reboot.size(), GetParam().rebooted);
+  EXPECT_EQ(plan.is_complete, GetParam().is_complete);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Waves, UpkeepTable,
     ::testing::Values(
-        UpkeepCase{"begins", [](UpkeepWorld&) {}, 2, 0, false},
-        UpkeepCase{"most_are_down",
+        UpkeepCase{"start", [](UpkeepWorld&) {}, 2, 0, false},
+        UpkeepCase{"as_many_down_as_allowed",
                    [](UpkeepWorld& world) {
-                     world.absent.down = {VmId{"m0"}, VmId{"m1"}};
+                     world.unavailable.down = {VmId{"m0"}, VmId{"m1"}};
                    },
                    0, 0, false},
-        UpkeepCase{"one_is_down", [](UpkeepWorld& world) { world.absent.down = {VmId{"m0"}}; }, 1,
-                   0, false},
-        // A predecessor ordered it; this process only sees it in the list.
-        UpkeepCase{"one_is_rebooting_by_the_list",
+        UpkeepCase{"one_is_down", [](UpkeepWorld& world) { world.unavailable.down = {VmId{"m0"}}; },
+                   1, 0, false},
+        // A previous owner ordered the reboot; this process only sees it in the VM list.
+        UpkeepCase{"one_is_rebooting_in_the_vm_list",
                    [](UpkeepWorld& world) { world.vms[0].phase = VmPhase::kRebooting; }, 1, 0,
                    false},
-        UpkeepCase{"done_before_and_rebooting_by_the_list",
+        UpkeepCase{"rebooted_before_and_rebooting_in_the_vm_list",
                    [](UpkeepWorld& world) {
                      world.vms[0].phase = VmPhase::kRebooting;
                      world.progress.rebooted = {VmId{"m0"}};
@@ -89,7 +89,7 @@
                      world.loads["i0"].is_empty = true;
                    },
                    1, 1, false},
-        UpkeepCase{"empty_but_not_yet_kept_free",
+        UpkeepCase{"empty_but_not_evacuating",
                    [](UpkeepWorld& world) { world.loads["i0"].is_empty = true; }, 2, 0, false},
         UpkeepCase{"a_wave_wider_than_a_quarter_of_the_pool",
                    [](UpkeepWorld& world) { world.wave.max_down = 8; }, 2, 0, false},
@@ -104,18 +104,18 @@
         UpkeepCase{"moving",
                    [](UpkeepWorld& world) {
                      for (const VmRecord& vm : world.vms) {
-                       world.absent.moving.insert(vm.id);
+                       world.unavailable.moving.insert(vm.id);
                      }
                    },
                    0, 0, false},
         UpkeepCase{"refused",
                    [](UpkeepWorld& world) {
                      for (const VmRecord& vm : world.vms) {
-                       world.absent.refused.insert(vm.id);
+                       world.unavailable.refused.insert(vm.id);
                      }
                    },
                    0, 0, false},
-        UpkeepCase{"all_begun",
+        UpkeepCase{"all_rebooted",
                    [](UpkeepWorld& world) {
                      for (const VmRecord& vm : world.vms) {
                        world.progress.rebooted.insert(vm.id);
@@ -125,8 +125,8 @@
         UpkeepCase{"no_list_yet", [](UpkeepWorld& world) { world.vms.clear(); }, 0, 0, false}),
     [](const auto& info) { return info.param.name; });
 
-/// Guards against a wave that empties VMs at work while a cordoned zone's stand idle.
-TEST(UpkeepPlanner, TakesWhatIsEmptyInACordonedZoneFirst) {
+/// Guards against a wave that evacuates busy VMs while those of a cordoned zone are idle.
+TEST(UpkeepPlanner, SelectsEmptyVmsOfACordonedZoneFirst) {
   UpkeepWorld world;
   world.loads["i2"].has_long_running = true;
   for (const char* endpoint : {"i5", "i6"}) {
@@ -137,8 +137,8 @@
   EXPECT_EQ(world.Plan().evacuate, (std::vector<std::string>{"i5", "i6"}));
 }
 
-/// What a successor reads of a wave is what its predecessor knew.
-TEST(WaveProgressRecord, KeepsAll) {
+/// The next owner reads all that the previous one stored about a wave.
+TEST(WaveProgressRecord, KeepsAllFields) {
   WaveProgress progress;
   progress.number = 7;
   progress.rebooted = {VmId{"m0"}, VmId{"m1"}};
