--- a/src/jobs/job.cc
+++ b/src/jobs/job.cc
@@ -104,7 +104,7 @@
     return InvalidField("payload", "is longer than " + std::to_string(kMaxPayloadBytes) + " bytes");
   }
   if (job.steps.empty() || job.steps.size() > kMaxSteps) {
-    return InvalidField("steps", "must have 1 to " + std::to_string(kMaxSteps) + " steps");
+    return InvalidField("steps", "must contain 1 to " + std::to_string(kMaxSteps) + " steps");
   }
   std::uint64_t tasks = 0;
   std::uint32_t number = 0;
--- a/src/jobs/pool_sizer.cc
+++ b/src/jobs/pool_sizer.cc
@@ -62,16 +62,15 @@
     History& history = this->pools[pool];
     const double elapsed_ms = Milliseconds(now - history.measured_at);
     if (history.has_sample && elapsed_ms > 0) {
-      const double arrived_jobs = load.arrived_jobs - history.arrived_jobs;
+      const double new_jobs = load.arrived_jobs - history.arrived_jobs;
       const double decay = std::exp(-elapsed_ms / Milliseconds(this->options.averaging_time));
-      history.job_rate += (1.0 - decay) * (arrived_jobs / elapsed_ms - history.job_rate);
+      history.job_rate += (1.0 - decay) * (new_jobs / elapsed_ms - history.job_rate);
       const double slow_decay = std::exp(-elapsed_ms / Milliseconds(this->options.averaging_time) /
                                          this->options.slow_averaging_factor);
-      history.slow_job_rate +=
-          (1.0 - slow_decay) * (arrived_jobs / elapsed_ms - history.slow_job_rate);
-      history.recent_jobs = decay * history.recent_jobs + arrived_jobs;
-      this->UpdateWorkPerJob(arrived_jobs, load.cpu.arrived, history.cpu);
-      this->UpdateWorkPerJob(arrived_jobs, load.memory.arrived, history.memory);
+      history.slow_job_rate += (1.0 - slow_decay) * (new_jobs / elapsed_ms - history.slow_job_rate);
+      history.recent_jobs = decay * history.recent_jobs + new_jobs;
+      this->UpdateWorkPerJob(new_jobs, load.cpu.arrived, history.cpu);
+      this->UpdateWorkPerJob(new_jobs, load.memory.arrived, history.memory);
     }
     history.has_sample = true;
     history.cpu.arrived = load.cpu.arrived;
