--- a/src/job_entry/pool_sizes_log.cc
+++ b/src/job_entry/pool_sizes_log.cc
@@ -18,7 +18,7 @@
   for (const auto& [pool, count] : sizes) {
     const char* const separator = text.empty() ? "" : " ";
     text += separator + pool.text + "=" + std::to_string(count) + "/" +
-            std::to_string(this->sizer.Wanted(pool));
+            std::to_string(this->sizer.TargetSize(pool));
     use += separator + pool.text + "=" + this->UseText(pool);
   }
   if (text == this->last_logged) {
--- a/src/jobs/scheduler_ready.cc
+++ b/src/jobs/scheduler_ready.cc
@@ -77,7 +77,7 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(queue->second.target).count();
   const std::int64_t objective_ms =
       static_cast<std::int64_t>(queue->second.slack_factor * chain_ms) + target_ms;
-  const std::int64_t begin_ms = job.job.IsScheduled() ? job.job.first_due_ms : job.job.taken_ms;
+  const std::int64_t begin_ms = job.job.IsScheduled() ? job.job.first_due_ms : job.job.accepted_ms;
   job.deadline_ms = begin_ms + objective_ms;
   job.worthless_ms = begin_ms + static_cast<std::int64_t>(this->options.late_factor *
                                                           static_cast<double>(objective_ms));
--- a/src/jobs/scheduler_views.cc
+++ b/src/jobs/scheduler_views.cc
@@ -68,7 +68,7 @@
   const double running = remaining * amount * estimate_ms;
   load.running += running;
   load.running_late += is_late ? running : 0;
-  load.at_once += (count.claimed + (is_open ? count.waiting : 0)) * amount;
+  load.concurrent_demand += (count.claimed + (is_open ? count.waiting : 0)) * amount;
 }
 
 /// True if some task of the job has had a claim on an endpoint.
@@ -154,7 +154,7 @@
         if (spec.max_per_endpoint > 0 && !step.IsDone()) {
           const std::uint32_t limit = spec.max_per_endpoint;
           const std::uint32_t endpoints = (spec.count + limit - 1) / limit;
-          load.least_endpoints = std::max(load.least_endpoints, static_cast<int>(endpoints));
+          load.min_endpoints = std::max(load.min_endpoints, static_cast<int>(endpoints));
         }
         if (!spec.is_long_running) {
           const std::int64_t latest = job->deadline_ms + begin_ms - chains[i];
--- a/tests/job_entry/vm_driver_test.cc
+++ b/tests/job_entry/vm_driver_test.cc
@@ -151,7 +151,7 @@
     world.fleet.vms.is_busy = true;
     jobs::WaveProgress progress;
     progress.number = 1;
-    progress.is_told = is_published;
+    progress.is_reported = is_published;
     world.driver.Restore(progress);
     world.Start();
     world.RunUntil(std::chrono::seconds(3), [&] { return !world.fleet.vms.tokens.empty(); });
--- a/tests/jobs/scheduler_test.cc
+++ b/tests/jobs/scheduler_test.cc
@@ -69,7 +69,7 @@
         PlacementCase{"gang_on_one_rack",
                       [](Step& step) {
                         step.is_gang = true;
-                        step.wants_one_rack = true;
+                        step.prefers_one_rack = true;
                       },
                       4,
                       {"a"}}),
@@ -167,10 +167,10 @@
   Harness harness;
   harness.Register({Harness::Endpoint("a", 1)});
   Job late = Harness::MakeJob(1, {Harness::MakeStep(1)});
-  late.taken_ms = 0;
+  late.accepted_ms = 0;
   harness.now = TimePoint{} + std::chrono::seconds(30);
   Job recent = Harness::MakeJob(2, {Harness::MakeStep(1)});
-  recent.taken_ms = 30000;
+  recent.accepted_ms = 30000;
   harness.scheduler.AddJob(late, Wall(harness));
   harness.scheduler.AddJob(recent, Wall(harness));
   harness.AnswerRenewal("a", {}, {});
@@ -193,10 +193,10 @@
   harness.scheduler.AddJob(Harness::MakeJob(1, {spread}), Wall(harness));
   EXPECT_EQ(harness.StartAll().size(), 1U);
   const PoolLoad load = harness.scheduler.PoolLoads().at(ServiceId{"desk"});
-  EXPECT_EQ(load.least_endpoints, 2);
+  EXPECT_EQ(load.min_endpoints, 2);
   EXPECT_EQ(load.waiting_long_running, 1);
   Job late = Harness::MakeJob(2, {Harness::MakeStep(1)});
-  late.taken_ms = 0;
+  late.accepted_ms = 0;
   harness.scheduler.AddJob(late, Wall(harness));
   EXPECT_EQ(harness.StartAll().size(), 1U);
 }
--- a/tests/jobs/takeover_test.cc
+++ b/tests/jobs/takeover_test.cc
@@ -146,7 +146,7 @@
   Harness harness{{}, 2};
   harness.now = TimePoint{} + std::chrono::hours(1000);
   Job ended = this->job;
-  ended.taken_ms = ToMs(harness.now) - 1000000;
+  ended.accepted_ms = ToMs(harness.now) - 1000000;
   harness.scheduler.AddJob(ended, WallTime(harness.now.time_since_epoch()));
   JobProgress failed = this->progress;
   failed.phase = JobPhase::kFailed;
