--- a/include/chervilspar/job_entry/links.h
+++ b/include/chervilspar/job_entry/links.h
@@ -24,7 +24,7 @@
 struct HeldOutcome {
   jobs::OrderOutcome outcome = jobs::OrderOutcome::kNoAnswer;
   /// There exactly when `outcome` is `kDone`.
-  std::optional<jobs::HoldReport> report;
+  std::optional<jobs::RenewalReport> report;
 };
 
 /// Orders to one endpoint that are under way at once. An order takes 1 to 4 ms, a new connection
@@ -36,12 +36,12 @@
  public:
   virtual ~EndpointLink() = default;
 
-  virtual boost::asio::awaitable<HeldOutcome> Hold(jobs::HoldOrder order, Duration timeout) = 0;
+  virtual boost::asio::awaitable<HeldOutcome> Hold(jobs::RenewalOrder order, Duration timeout) = 0;
   virtual boost::asio::awaitable<jobs::OrderOutcome> Start(jobs::StartOrder order,
                                                            Duration timeout) = 0;
   virtual boost::asio::awaitable<jobs::OrderOutcome> Stop(jobs::StopOrder order,
                                                           Duration timeout) = 0;
-  virtual boost::asio::awaitable<jobs::OrderOutcome> Pace(jobs::PaceOrder order,
+  virtual boost::asio::awaitable<jobs::OrderOutcome> Pace(jobs::ThrottleOrder order,
                                                           Duration timeout) = 0;
   /// How many orders other than holds should be under way to this endpoint at once.
   virtual std::size_t OrdersAtOnce(const std::string&) const { return kOrdersAtOneEndpoint; }
--- a/include/chervilspar/jobs/carrier_choice.h
+++ b/include/chervilspar/jobs/carrier_choice.h
@@ -52,7 +52,7 @@
   /// The address of the entry that carries orders to `endpoint` now; nothing: the owner itself.
   std::optional<std::string> Choose(const std::string& endpoint, TimePoint now) const;
   void OnAnswered(const std::string& address);
-  void OnMissed(const std::string& address, TimePoint now);
+  void OnUnanswered(const std::string& address, TimePoint now);
   /// It brought an endpoint's answer after that had been given up on. Where most carriers are
   /// passed over at once, what was slow is this entry's own link, which they are to relieve.
   void OnAnsweredLate(const std::string& address, TimePoint now);
--- a/include/chervilspar/jobs/endpoint.h
+++ b/include/chervilspar/jobs/endpoint.h
@@ -73,17 +73,17 @@
 };
 
 /// What an endpoint answers when its leases are renewed.
-struct HoldReport {
+struct RenewalReport {
   std::int64_t clock_ms = 0;
   std::int64_t born_ms = 0;
   std::vector<ActiveRun> active;
   std::vector<EndedRun> ended;
 
-  friend bool operator==(const HoldReport&, const HoldReport&) = default;
+  friend bool operator==(const RenewalReport&, const RenewalReport&) = default;
 };
 
 /// Renews the leases of all that runs on an endpoint and asks what runs there.
-struct HoldOrder {
+struct RenewalOrder {
   std::string endpoint;
   SocketAddress address;
   std::uint64_t token = 0;
@@ -94,7 +94,7 @@
   /// How long the endpoint may wait for an end before it answers.
   Duration wait{};
 
-  friend bool operator==(const HoldOrder&, const HoldOrder&) = default;
+  friend bool operator==(const RenewalOrder&, const RenewalOrder&) = default;
 };
 
 /// Starts one run.
@@ -126,7 +126,7 @@
 };
 
 /// Lets a run work at a part of its speed.
-struct PaceOrder {
+struct ThrottleOrder {
   std::string endpoint;
   SocketAddress address;
   TaskKey task;
@@ -134,7 +134,7 @@
   int percent = 100;
   std::uint64_t token = 0;
 
-  friend bool operator==(const PaceOrder&, const PaceOrder&) = default;
+  friend bool operator==(const ThrottleOrder&, const ThrottleOrder&) = default;
 };
 
 /// What came of an order.
@@ -147,13 +147,13 @@
   /// Refused: the order came after its time.
   kTooLate,
   /// Refused: no room.
-  kNoRoom,
+  kNoCapacity,
   /// Refused: the ticket isn't valid.
   kBadTicket,
   /// Refused for another reason; nothing was done.
   kRefused,
   /// Another life of the endpoint, or another endpoint, answers at the address.
-  kOtherLife,
+  kOtherIncarnation,
   /// No whole answer; it may be carried out, also seconds later.
   kNoAnswer,
   /// Not sent.
--- a/include/chervilspar/jobs/interim_leases.h
+++ b/include/chervilspar/jobs/interim_leases.h
@@ -29,12 +29,12 @@
   /// Until this time there was certainly no successor; renewals as with `Scheduler::SetProof`.
   void SetProof(TimePoint proof);
   /// What is to be sent now: a look at each endpoint, then renewals where something runs.
-  std::vector<HoldOrder> Plan(TimePoint now);
+  std::vector<RenewalOrder> Plan(TimePoint now);
   /// `report`: nothing if there was no answer.
-  void OnAnswered(const std::string& endpoint, const std::optional<HoldReport>& report,
+  void OnAnswered(const std::string& endpoint, const std::optional<RenewalReport>& report,
                   TimePoint now);
   /// Whether no look is under way any more.
-  bool IsSettled() const;
+  bool IsPollDone() const;
   std::size_t RenewedCount() const { return this->lease_ends.size(); }
   /// By our clock, when the leases have certainly lapsed that were given here.
   const std::map<std::string, TimePoint>& LeaseEnds() const { return this->lease_ends; }
@@ -49,7 +49,7 @@
     TimePoint due{};
   };
 
-  HoldOrder OrderFor(const std::string& id, Held& held, TimePoint now);
+  RenewalOrder OrderFor(const std::string& id, Held& held, TimePoint now);
 
   const SchedulerOptions options;
   const std::uint64_t token;
--- a/include/chervilspar/jobs/scheduler.h
+++ b/include/chervilspar/jobs/scheduler.h
@@ -69,7 +69,7 @@
 struct Orders {
   std::vector<StartOrder> starts;
   std::vector<StopOrder> stops;
-  std::vector<PaceOrder> paces;
+  std::vector<ThrottleOrder> paces;
 };
 
 /// What a caller is told of a job.
@@ -95,7 +95,7 @@
 
 /// How a renewal at an endpoint should look now.
 struct HoldPlan {
-  HoldOrder order;
+  RenewalOrder order;
   /// False: nothing is to be renewed or learnt there.
   bool is_needed = false;
 };
@@ -162,11 +162,12 @@
   /// Cancels a job, also one that is yet to come.
   void CancelJob(const JobId& id);
   /// `sent`: when the hold was sent; what ended after that may be missing in it.
-  void OnHeld(const HoldOrder& order, const HoldReport& report, TimePoint sent, TimePoint now);
+  void OnHeld(const RenewalOrder& order, const RenewalReport& report, TimePoint sent,
+              TimePoint now);
   void OnHoldFailed(const std::string& endpoint, OrderOutcome outcome, TimePoint now);
   void OnStartAnswered(const StartOrder& order, OrderOutcome outcome, TimePoint now);
   void OnStopAnswered(const StopOrder& order, OrderOutcome outcome, TimePoint now);
-  void OnPaceAnswered(const PaceOrder& order, OrderOutcome outcome);
+  void OnPaceAnswered(const ThrottleOrder& order, OrderOutcome outcome);
   void OnAdvice(const TaskKey& step, const std::vector<AdviceTicket>& tickets, TimePoint now);
 
   /// Until this time there was certainly no successor. Leases are renewed for
--- a/include/chervilspar/jobs/order_budget.h
+++ b/include/chervilspar/jobs/vm_order_rate_limiter.h
@@ -9,13 +9,13 @@
 /// The load that it answers: a peak for which a hundred VMs are to move at once. All ordered in one
 /// go, most are refused, ordered anew 150 ms later and refused again; each call is paid for, and
 /// reboots of a wave wait behind them.
-class OrderBudget {
+class VmOrderRateLimiter {
  public:
   /// `rate`: orders a second.
-  explicit OrderBudget(double rate);
+  explicit VmOrderRateLimiter(double rate);
 
   /// Takes one order from the budget; false when there is none left at this time.
-  bool Take(TimePoint now);
+  bool TryAcquire(TimePoint now);
   /// The platform refused an order as one too many: others use the rate as well.
   void OnRefused(TimePoint now);
 
--- a/include/chervilspar/rpc/carrier_message.h
+++ b/include/chervilspar/rpc/carrier_message.h
@@ -32,8 +32,8 @@
   Duration timeout{};
   std::vector<Carried<jobs::StartOrder>> starts;
   std::vector<Carried<jobs::StopOrder>> stops;
-  std::vector<Carried<jobs::PaceOrder>> paces;
-  std::vector<Carried<jobs::HoldOrder>> holds;
+  std::vector<Carried<jobs::ThrottleOrder>> paces;
+  std::vector<Carried<jobs::RenewalOrder>> holds;
 
   friend bool operator==(const OrderBatch&, const OrderBatch&) = default;
 };
@@ -43,7 +43,7 @@
   std::uint64_t number = 0;
   jobs::OrderOutcome outcome = jobs::OrderOutcome::kNoAnswer;
   /// Of a hold that was carried out.
-  std::optional<jobs::HoldReport> report;
+  std::optional<jobs::RenewalReport> report;
 
   friend bool operator==(const CarriedAnswer&, const CarriedAnswer&) = default;
 };
--- a/src/job_entry/carried_endpoints.cc
+++ b/src/job_entry/carried_endpoints.cc
@@ -100,7 +100,7 @@
     }
     if (answer.outcome == OrderOutcome::kNoAnswer) {
       // Its way to the endpoint may be cut where another's isn't.
-      this->choice.OnMissed(found->second->carrier, this->context.Now());
+      this->choice.OnUnanswered(found->second->carrier, this->context.Now());
     } else {
       this->choice.OnAnswered(found->second->carrier);
     }
@@ -110,7 +110,7 @@
 }
 
 void CarriedEndpoints::GiveUp(std::uint64_t number, const std::string& carrier) {
-  this->choice.OnMissed(carrier, this->context.Now());
+  this->choice.OnUnanswered(carrier, this->context.Now());
   this->given_up.emplace(number, carrier);
   if (this->given_up.size() > kMostGivenUp) {
     this->given_up.erase(this->given_up.begin());
@@ -148,7 +148,7 @@
   co_return none;
 }
 
-asio::awaitable<HeldOutcome> CarriedEndpoints::Hold(jobs::HoldOrder order, Duration timeout) {
+asio::awaitable<HeldOutcome> CarriedEndpoints::Hold(jobs::RenewalOrder order, Duration timeout) {
   std::optional<std::string> carrier = this->CarrierFor(order.endpoint);
   if (!carrier) {
     return this->direct->Hold(std::move(order), timeout);
@@ -199,7 +199,7 @@
   return this->Give(std::move(order), timeout, &rpc::OrderBatch::stops, &EndpointLink::Stop);
 }
 
-asio::awaitable<OrderOutcome> CarriedEndpoints::Pace(jobs::PaceOrder order, Duration timeout) {
+asio::awaitable<OrderOutcome> CarriedEndpoints::Pace(jobs::ThrottleOrder order, Duration timeout) {
   return this->Give(std::move(order), timeout, &rpc::OrderBatch::paces, &EndpointLink::Pace);
 }
 
--- a/src/job_entry/carried_endpoints.h
+++ b/src/job_entry/carried_endpoints.h
@@ -31,11 +31,12 @@
   void SetMembers(const std::vector<std::string>& members) override;
   void SetEndpoints(const std::vector<jobs::EndpointRecord>& endpoints) override;
 
-  boost::asio::awaitable<HeldOutcome> Hold(jobs::HoldOrder order, Duration timeout) override;
+  boost::asio::awaitable<HeldOutcome> Hold(jobs::RenewalOrder order, Duration timeout) override;
   boost::asio::awaitable<jobs::OrderOutcome> Start(jobs::StartOrder order,
                                                    Duration timeout) override;
   boost::asio::awaitable<jobs::OrderOutcome> Stop(jobs::StopOrder order, Duration timeout) override;
-  boost::asio::awaitable<jobs::OrderOutcome> Pace(jobs::PaceOrder order, Duration timeout) override;
+  boost::asio::awaitable<jobs::OrderOutcome> Pace(jobs::ThrottleOrder order,
+                                                  Duration timeout) override;
   std::size_t OrdersAtOnce(const std::string& endpoint) const override;
 
  private:
--- a/src/job_entry/lease_keeper.cc
+++ b/src/job_entry/lease_keeper.cc
@@ -34,13 +34,13 @@
   const TimePoint end = this->context.Now() + longest;
   do {
     co_await Pause(this->context, kRound);
-  } while (!this->is_stopped && !this->leases.IsSettled() && this->context.Now() < end);
+  } while (!this->is_stopped && !this->leases.IsPollDone() && this->context.Now() < end);
 }
 
 asio::awaitable<void> LeaseKeeper::Run(std::shared_ptr<LeaseKeeper> self) {
   while (!this->is_stopped) {
     this->leases.SetProof(this->proof());
-    for (jobs::HoldOrder& order : this->leases.Plan(this->context.Now())) {
+    for (jobs::RenewalOrder& order : this->leases.Plan(this->context.Now())) {
       Spawn(this->context, this->Carry(self, std::move(order)));
     }
     co_await Pause(this->context, kRound);
@@ -48,7 +48,7 @@
 }
 
 asio::awaitable<void> LeaseKeeper::Carry([[maybe_unused]] std::shared_ptr<LeaseKeeper> self,
-                                         jobs::HoldOrder order) {
+                                         jobs::RenewalOrder order) {
   const std::string endpoint = order.endpoint;
   const HeldOutcome held =
       co_await this->context.links.endpoints->Hold(std::move(order), kHoldTimeout);
--- a/src/job_entry/lease_keeper.h
+++ b/src/job_entry/lease_keeper.h
@@ -26,7 +26,7 @@
 
  private:
   boost::asio::awaitable<void> Run(std::shared_ptr<LeaseKeeper> self);
-  boost::asio::awaitable<void> Carry(std::shared_ptr<LeaseKeeper> self, jobs::HoldOrder order);
+  boost::asio::awaitable<void> Carry(std::shared_ptr<LeaseKeeper> self, jobs::RenewalOrder order);
 
   const Context context;
   jobs::InterimLeases leases;
--- a/src/job_entry/order_carrier.cc
+++ b/src/job_entry/order_carrier.cc
@@ -62,7 +62,7 @@
     });
   }
   for (const auto& pace : batch.paces) {
-    this->Queue(pace, origin, [this](const jobs::PaceOrder& order, Duration timeout) {
+    this->Queue(pace, origin, [this](const jobs::ThrottleOrder& order, Duration timeout) {
       return this->link.Pace(order, timeout);
     });
   }
@@ -78,7 +78,7 @@
   co_return co_await this->link.Start(std::move(order), timeout);
 }
 
-asio::awaitable<void> OrderCarrier::Hold(rpc::Carried<jobs::HoldOrder> carried, Origin origin) {
+asio::awaitable<void> OrderCarrier::Hold(rpc::Carried<jobs::RenewalOrder> carried, Origin origin) {
   const Duration timeout = origin.timeout + carried.order.wait;
   HeldOutcome held = co_await this->link.Hold(std::move(carried.order), timeout);
   this->Answer(origin, {carried.number, held.outcome, std::move(held.report)});
--- a/src/job_entry/order_sender.cc
+++ b/src/job_entry/order_sender.cc
@@ -84,7 +84,7 @@
     }
   }
 
-  asio::awaitable<void> Carry(const jobs::PaceOrder& order) {
+  asio::awaitable<void> Carry(const jobs::ThrottleOrder& order) {
     const OrderOutcome outcome = co_await this->context.links.endpoints->Pace(order, kOrderTimeout);
     this->context.metrics.Count(
         {"chervilspar_paces_total", {{"outcome", jobs::ToString(outcome)}}});
@@ -129,7 +129,7 @@
     this->is_held = is_needed;
   }
 
-  asio::awaitable<bool> Hold(const jobs::HoldOrder& order) {
+  asio::awaitable<bool> Hold(const jobs::RenewalOrder& order) {
     const TimePoint sent = this->context.Now();
     const HeldOutcome held =
         co_await this->context.links.endpoints->Hold(order, order.wait + kHoldMargin);
--- a/src/job_entry/order_sender.h
+++ b/src/job_entry/order_sender.h
@@ -34,7 +34,7 @@
  private:
   /// What concerns one endpoint; lives as long as one of its coroutines.
   struct Channel;
-  using Order = std::variant<jobs::StartOrder, jobs::StopOrder, jobs::PaceOrder>;
+  using Order = std::variant<jobs::StartOrder, jobs::StopOrder, jobs::ThrottleOrder>;
 
   Channel& ChannelOf(const std::string& endpoint);
   /// Ends the channels of all others. `endpoints` in ascending order.
--- a/src/job_entry/vm_driver.cc
+++ b/src/job_entry/vm_driver.cc
@@ -236,7 +236,7 @@
     }
   }
   for (const VmId& vm : step.reboot) {
-    if (!may_order || this->is_stopped || !this->budget.Take(this->context.Now())) {
+    if (!may_order || this->is_stopped || !this->budget.TryAcquire(this->context.Now())) {
       break;
     }
     // Counted as down before the order leaves: one without answer may have been carried out.
@@ -382,7 +382,7 @@
   this->SetReleased(step.release);
   for (const jobs::SizerStep::Move& move : step.moves) {
     const bool may_move = !this->is_stopped && !this->refused.contains({move.vm, move.to});
-    if (may_move && this->budget.Take(this->context.Now())) {
+    if (may_move && this->budget.TryAcquire(this->context.Now())) {
       this->moving[move.vm] = {move.to, this->context.Now()};
       this->Order([this, move] { return this->Move(move.vm, move.to); });
     }
--- a/src/job_entry/vm_driver.h
+++ b/src/job_entry/vm_driver.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "chervilspar/jobs/order_budget.h"
 #include "chervilspar/jobs/pool_sizer.h"
 #include "chervilspar/jobs/scheduler.h"
 #include "chervilspar/jobs/upkeep.h"
+#include "chervilspar/jobs/vm_order_rate_limiter.h"
 
 #include "job_entry/context.h"
 #include "job_entry/operator_view.h"
@@ -111,7 +111,7 @@
   std::set<std::pair<VmId, ServiceId>> refused;
   jobs::PoolSizer sizer;
   PoolSizesLog sizes_log;
-  jobs::OrderBudget budget;
+  jobs::VmOrderRateLimiter budget;
   std::shared_ptr<WorkLane> orders;
 };
 
--- a/src/jobs/carrier_choice.cc
+++ b/src/jobs/carrier_choice.cc
@@ -60,7 +60,7 @@
   }
 }
 
-void CarrierChoice::OnMissed(const std::string& address, TimePoint now) {
+void CarrierChoice::OnUnanswered(const std::string& address, TimePoint now) {
   const auto found = this->health.find(address);
   if (found == this->health.end()) {
     return;
--- a/src/jobs/endpoint.cc
+++ b/src/jobs/endpoint.cc
@@ -36,13 +36,13 @@
       return "run_too_old";
     case OrderOutcome::kTooLate:
       return "too_late";
-    case OrderOutcome::kNoRoom:
+    case OrderOutcome::kNoCapacity:
       return "no_room";
     case OrderOutcome::kBadTicket:
       return "bad_ticket";
     case OrderOutcome::kRefused:
       return "refused";
-    case OrderOutcome::kOtherLife:
+    case OrderOutcome::kOtherIncarnation:
       return "other_life";
     case OrderOutcome::kNoAnswer:
       return "no_answer";
--- a/src/jobs/evacuation.cc
+++ b/src/jobs/evacuation.cc
@@ -16,18 +16,18 @@
 constexpr Duration kRoomKept = std::chrono::milliseconds(3000);
 
 bool IsAtWork(const Task& task, TimePoint now) {
-  if (task.state != RunState::kActive || task.percent < kAtWork) {
+  if (task.state != RunState::kActive || task.percent < kReadyPercent) {
     return false;
   }
   const EndpointState& endpoint = *task.endpoint;
   return endpoint.is_registered && !endpoint.is_silent && !endpoint.record.is_draining &&
-         now - endpoint.heard < kFresh;
+         now - endpoint.last_response < kFresh;
 }
 
 }  // namespace
 
 void Evacuation::Run() {
-  if (this->now - this->state.began < kSettle) {
+  if (this->now - this->state.term_start < kSettle) {
     return;
   }
   for (const auto& [id, endpoint] : this->state.endpoints) {
@@ -44,14 +44,14 @@
 
 void Evacuation::LookAhead() {
   std::set<EndpointState*> taken;
-  for (const auto& [key, kept] : this->state.kept_rooms) {
+  for (const auto& [key, kept] : this->state.reservations) {
     taken.insert(this->state.FindEndpoint(kept.endpoint));
   }
   for (const TaskRef& ref : this->waiting) {
     std::set<EndpointState*> excluded = taken;
     excluded.insert(ref.task->endpoint);
     EndpointState* const place = this->placement.Choose(ref, excluded, this->now);
-    ref.task->lacks_place = place == nullptr;
+    ref.task->lacks_target = place == nullptr;
     if (place != nullptr) {
       taken.insert(place);
     }
@@ -68,16 +68,16 @@
     return;
   }
   EndpointState* const place = this->placement.Choose(ref, {ref.task->endpoint}, this->now);
-  ref.task->lacks_place = place == nullptr;
+  ref.task->lacks_target = place == nullptr;
   if (place == nullptr) {
     return;
   }
-  this->state.Tell({"run_moved",
-                    ref.key,
-                    {},
-                    ref.task->endpoint->record.id,
-                    "its endpoint is being emptied; room is kept at " + place->record.id});
-  this->state.KeepRoom(ref, *place, this->now + kRoomKept);
+  this->state.ReportEvent({"run_moved",
+                           ref.key,
+                           {},
+                           ref.task->endpoint->record.id,
+                           "its endpoint is being emptied; room is kept at " + place->record.id});
+  this->state.ReserveCapacity(ref, *place, this->now + kRoomKept);
   this->state.BeginStop(ref, this->now);
 }
 
--- a/src/jobs/pacing.cc
+++ b/src/jobs/filler_throttle.cc
@@ -1,4 +1,4 @@
-#include "jobs/pacing.h"
+#include "jobs/filler_throttle.h"
 
 #include <algorithm>
 
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-double Pacing::WorstLoad(const EndpointState& endpoint) const {
+double FillerThrottle::WorstLoad(const EndpointState& endpoint) const {
   double worst = 0;
   for (const TaskKey& key : endpoint.claims) {
     const TaskRef ref = this->state.Find(key);
@@ -31,7 +31,7 @@
   return worst;
 }
 
-void Pacing::Review(EndpointState& endpoint) {
+void FillerThrottle::Review(EndpointState& endpoint) {
   const double load = this->WorstLoad(endpoint);
   if (load > kTooNear) {
     endpoint.pace = static_cast<int>(endpoint.pace * kCut);
@@ -42,7 +42,7 @@
   this->Order(endpoint, load >= kFarEnough && load <= kTooNear);
 }
 
-void Pacing::Order(EndpointState& endpoint, bool is_load_right) {
+void FillerThrottle::Order(EndpointState& endpoint, bool is_load_right) {
   for (const TaskKey& key : endpoint.claims) {
     const TaskRef ref = this->state.Find(key);
     Task& task = *ref.task;
@@ -59,7 +59,7 @@
 
 /// What can go wrong: the order that halts a filler is lost, no other follows as none is slower,
 /// and the filler disturbs its neighbour for as long as both run.
-void Pacing::OnAnswered(const PaceOrder& order, OrderOutcome outcome) {
+void FillerThrottle::OnAnswered(const ThrottleOrder& order, OrderOutcome outcome) {
   this->state.is_superseded = this->state.is_superseded || outcome == OrderOutcome::kTokenTooLow;
   const TaskRef ref = this->state.Find(order.task);
   const bool is_newest = ref && ref.task->endpoint != nullptr &&
--- a/src/jobs/pacing.h
+++ b/src/jobs/filler_throttle.h
@@ -10,15 +10,15 @@
 /// response times go over their target and stay there, and the team's users wait. The figures that
 /// endpoints give are rough and half a second old, so the pace is cut by a factor when a figure
 /// comes near its target and given back in small steps.
-class Pacing {
+class FillerThrottle {
  public:
-  explicit Pacing(SchedulerState& state) : state(state) {}
+  explicit FillerThrottle(SchedulerState& state) : state(state) {}
 
   /// Looks at the newest figures of an endpoint and orders another pace where needed.
   void Review(EndpointState& endpoint);
   /// An order that may not have been carried out is given again with the next look that asks for
   /// it.
-  void OnAnswered(const PaceOrder& order, OrderOutcome outcome);
+  void OnAnswered(const ThrottleOrder& order, OrderOutcome outcome);
 
  private:
   double WorstLoad(const EndpointState& endpoint) const;
--- a/src/jobs/interim_leases.cc
+++ b/src/jobs/interim_leases.cc
@@ -21,8 +21,8 @@
 
 void InterimLeases::SetProof(TimePoint proof) { this->proof = std::max(this->proof, proof); }
 
-std::vector<HoldOrder> InterimLeases::Plan(TimePoint now) {
-  std::vector<HoldOrder> orders;
+std::vector<RenewalOrder> InterimLeases::Plan(TimePoint now) {
+  std::vector<RenewalOrder> orders;
   for (auto& [id, held] : this->endpoints) {
     if (held.has_runs && !held.is_asked && now >= held.due) {
       orders.push_back(this->OrderFor(id, held, now));
@@ -31,9 +31,9 @@
   return orders;
 }
 
-HoldOrder InterimLeases::OrderFor(const std::string& id, Held& held, TimePoint now) {
+RenewalOrder InterimLeases::OrderFor(const std::string& id, Held& held, TimePoint now) {
   held.is_asked = true;
-  HoldOrder order;
+  RenewalOrder order;
   order.endpoint = id;
   order.address = held.address;
   order.token = this->token;
@@ -50,8 +50,8 @@
   return order;
 }
 
-void InterimLeases::OnAnswered(const std::string& endpoint, const std::optional<HoldReport>& report,
-                               TimePoint now) {
+void InterimLeases::OnAnswered(const std::string& endpoint,
+                               const std::optional<RenewalReport>& report, TimePoint now) {
   const auto found = this->endpoints.find(endpoint);
   if (found == this->endpoints.end()) {
     return;
@@ -71,7 +71,7 @@
   held.due = is_renewed ? now + this->options.lease / kRenewalsPerLease : now;
 }
 
-bool InterimLeases::IsSettled() const {
+bool InterimLeases::IsPollDone() const {
   return std::none_of(this->endpoints.begin(), this->endpoints.end(), [](const auto& entry) {
     return entry.second.is_asked && !entry.second.clock_ms;
   });
--- a/src/jobs/lapse_review.cc
+++ b/src/jobs/lapse_review.cc
@@ -14,9 +14,9 @@
 
 bool LapseReview::IsLeftToLapse(const EndpointState& endpoint) const {
   const bool is_unreached = endpoint.is_silent || !endpoint.clock_ms.has_value();
-  const TimePoint heard = std::max(endpoint.heard, this->state.began);
+  const TimePoint last_response = std::max(endpoint.last_response, this->state.term_start);
   return is_unreached && !endpoint.claims.empty() &&
-         this->now - heard >= this->state.options.silence && this->now < endpoint.lease_end;
+         this->now - last_response >= this->state.options.silence && this->now < endpoint.lease_end;
 }
 
 void LapseReview::Run() {
@@ -40,7 +40,8 @@
     // An owner in between may have renewed there without leaving a trace.
     const bool is_from_predecessor = notice.token + 1 == this->state.token;
     if (endpoint != nullptr && is_from_predecessor && !endpoint->claims.empty()) {
-      endpoint->lease_end = std::min(endpoint->lease_end, this->state.began + notice.remaining);
+      endpoint->lease_end =
+          std::min(endpoint->lease_end, this->state.term_start + notice.remaining);
     }
   }
 }
--- a/src/jobs/order_round.cc
+++ b/src/jobs/order_round.cc
@@ -12,7 +12,7 @@
 
 StartOrder OrderRound::StartOf(const TaskRef& ref) {
   Task& task = *ref.task;
-  task.ordered = this->now;
+  task.last_order_sent = this->now;
   ++task.start_tries;
   const EndpointRecord& record = task.endpoint->record;
   return {.endpoint = record.id,
@@ -27,22 +27,23 @@
 }
 
 void OrderRound::Gather(Orders& orders) {
-  for (auto place = this->state.unsettled.begin(); place != this->state.unsettled.end();) {
+  for (auto place = this->state.retry_candidates.begin();
+       place != this->state.retry_candidates.end();) {
     const TaskKey key = *place++;
     const TaskRef ref = this->state.Find(key);
-    if (ref && ref.task->state == RunState::kUnsure) {
+    if (ref && ref.task->state == RunState::kUnconfirmed) {
       this->GatherUnsure(ref, orders);
     } else if (ref && ref.task->state == RunState::kStopping) {
       this->GatherStop(ref, orders);
     } else {
-      this->state.unsettled.erase(key);
+      this->state.retry_candidates.erase(key);
     }
   }
-  if (this->state.has_strays) {
-    this->state.has_strays = false;
+  if (this->state.has_orphaned_runs) {
+    this->state.has_orphaned_runs = false;
     for (const auto& [id, endpoint] : this->state.endpoints) {
-      if (!endpoint->strays.empty()) {
-        this->state.has_strays = true;
+      if (!endpoint->orphaned_runs.empty()) {
+        this->state.has_orphaned_runs = true;
         this->GatherStrays(*endpoint, orders);
       }
     }
@@ -55,7 +56,7 @@
   Task& task = *ref.task;
   const bool is_cordoned = task.endpoint->is_cordoned;
   const Duration pause = is_cordoned ? kLookFirst : this->state.options.start_retry;
-  if (this->now - task.ordered < pause) {
+  if (this->now - task.last_order_sent < pause) {
     return;
   }
   const bool may_repeat = !is_cordoned && this->now < task.start_expires;
@@ -64,13 +65,14 @@
     return;
   }
   if (!task.is_adopted && !this->MayBeAtWork(ref)) {
-    this->state.Tell({"start_given_up",
-                      ref.key,
-                      {},
-                      task.endpoint->record.id,
-                      "no answer to " + std::to_string(task.start_tries) + " orders; stopped"});
+    this->state.ReportEvent(
+        {"start_given_up",
+         ref.key,
+         {},
+         task.endpoint->record.id,
+         "no answer to " + std::to_string(task.start_tries) + " orders; stopped"});
     this->state.BeginStop(ref, this->now);
-    this->state.BreakGang(ref, this->now);
+    this->state.StopGang(ref, this->now);
     this->GatherStop(ref, orders);
   }
 }
@@ -79,27 +81,27 @@
 /// it from them beside siblings that are away. So a look that is newer than the order comes first.
 bool OrderRound::MayBeAtWork(const TaskRef& ref) const {
   const Task& task = *ref.task;
-  return ref.spec->is_long_running && task.endpoint->looked <= task.ordered;
+  return ref.spec->is_long_running && task.endpoint->last_answered_request <= task.last_order_sent;
 }
 
 void OrderRound::GatherStop(const TaskRef& ref, Orders& orders) {
   Task& task = *ref.task;
-  const bool is_waiting = this->now - task.ordered < this->state.options.stop_retry;
+  const bool is_waiting = this->now - task.last_order_sent < this->state.options.stop_retry;
   if (is_waiting || task.stop_answered) {
     return;
   }
-  task.ordered = this->now;
+  task.last_order_sent = this->now;
   const EndpointRecord& record = task.endpoint->record;
   orders.stops.push_back(
       {record.id, record.address, ref.key, task.progress.run, this->state.token});
 }
 
 void OrderRound::GatherStrays(EndpointState& endpoint, Orders& orders) {
-  for (auto& [stray, ordered] : endpoint.strays) {
-    if (this->now - ordered < this->state.options.stop_retry) {
+  for (auto& [stray, last_order_sent] : endpoint.orphaned_runs) {
+    if (this->now - last_order_sent < this->state.options.stop_retry) {
       continue;
     }
-    ordered = this->now;
+    last_order_sent = this->now;
     orders.stops.push_back({endpoint.record.id, endpoint.record.address, stray.first, stray.second,
                             this->state.token});
   }
--- a/src/jobs/placement.cc
+++ b/src/jobs/placement.cc
@@ -84,18 +84,18 @@
   }
   const bool opens_another = IsServing(*ref.spec) && !has_serving;
   return shared * kSharingCost + (opens_another ? kOpeningCost : 0) +
-         (endpoint.is_due ? kDueCost : 0);
+         (endpoint.is_reboot_due ? kDueCost : 0);
 }
 
 std::int64_t Placement::Cost(const TaskRef& ref, const EndpointState& endpoint) const {
   std::int64_t cost = this->SharingCost(ref, endpoint);
-  if (endpoint.record.id == ref.task->avoid) {
+  if (endpoint.record.id == ref.task->avoided_endpoint) {
     cost += kFailedThereCost;
   }
   if (!ref.spec->data_rack.empty() && !endpoint.record.HasLabel(ref.spec->data_rack)) {
     cost += kFarRackCost;
   }
-  const std::int64_t left = endpoint.Room().cpu - RoomFor(*ref.spec).cpu;
+  const std::int64_t left = endpoint.FreeCapacity().cpu - RequiredCapacity(*ref.spec).cpu;
   const bool is_spread = ref.spec->is_long_running;
   return cost + (is_spread ? -left : left);
 }
@@ -106,11 +106,11 @@
   if (pool == this->state.pools.end()) {
     return nullptr;
   }
-  const Resources need = RoomFor(*ref.spec);
+  const Resources need = RequiredCapacity(*ref.spec);
   EndpointState* best = nullptr;
   std::int64_t best_cost = std::numeric_limits<std::int64_t>::max();
   for (EndpointState* endpoint : pool->second.endpoints) {
-    const Resources room = endpoint->Room();
+    const Resources room = endpoint->FreeCapacity();
     // What is left over is the least that batch work costs; most endpoints end here.
     const bool is_dearer = !ref.spec->is_long_running && room.cpu - need.cpu >= best_cost;
     if (is_dearer || !room.Fits(need) || reserved.contains(endpoint) ||
@@ -134,7 +134,7 @@
   const std::vector<EndpointState*>& endpoints = pool->second.endpoints;
   return std::any_of(endpoints.begin(), endpoints.end(), [&](const EndpointState* endpoint) {
     return endpoint->is_cordoned && !endpoint->IsLeaving() && HasLabelFor(ref, *endpoint) &&
-           endpoint->record.capacity.Fits(RoomFor(*ref.spec));
+           endpoint->record.capacity.Fits(RequiredCapacity(*ref.spec));
   });
 }
 
@@ -145,9 +145,9 @@
     return nullptr;
   }
   for (EndpointState* endpoint : pool->second.endpoints) {
-    const bool may_run =
-        this->MayRunOn(ref, *endpoint, now) && endpoint->record.capacity.Fits(RoomFor(*ref.spec));
-    if (may_run && (best == nullptr || best->Room().cpu < endpoint->Room().cpu)) {
+    const bool may_run = this->MayRunOn(ref, *endpoint, now) &&
+                         endpoint->record.capacity.Fits(RequiredCapacity(*ref.spec));
+    if (may_run && (best == nullptr || best->FreeCapacity().cpu < endpoint->FreeCapacity().cpu)) {
       best = endpoint;
     }
   }
--- a/src/jobs/placing_round.cc
+++ b/src/jobs/placing_round.cc
@@ -69,8 +69,8 @@
       const auto waiting =
           std::count_if(occurrence.steps[i].tasks.begin(), occurrence.steps[i].tasks.end(),
                         [](const Task& task) { return task.IsWaiting(); });
-      work += static_cast<double>(waiting) * static_cast<double>(RoomFor(spec).cpu) *
-              static_cast<double>(std::max<std::int64_t>(spec.estimate_ms, kLeastEstimateMs));
+      work += static_cast<double>(waiting) * static_cast<double>(RequiredCapacity(spec).cpu) *
+              static_cast<double>(std::max<std::int64_t>(spec.estimate_ms, kMinEstimateMs));
     }
   }
   return work;
@@ -91,13 +91,13 @@
     }
     for (const TaskKey& key : endpoint->claims) {
       const TaskRef ref = this->state.Find(key);
-      cpu -= ref.spec->is_long_running ? static_cast<double>(RoomFor(*ref.spec).cpu) : 0;
+      cpu -= ref.spec->is_long_running ? static_cast<double>(RequiredCapacity(*ref.spec).cpu) : 0;
     }
   }
   std::vector<UrgentJob> urgent;
   for (const ReadyKey& key : pool.ready) {
     JobState& job = *this->state.FindJob(key.job);
-    job.is_given_up = false;
+    job.is_abandoned = false;
     if (key.rank > 0 && key.latest_start_ms >= this->wall_ms) {
       urgent.push_back({key.job, job.job.team,
                         static_cast<double>(key.latest_start_ms - this->wall_ms) + kGrace,
@@ -112,7 +112,7 @@
     weights[id] = team.weight;
   }
   for (const JobId& id : OverloadPlan::GiveUp(urgent, std::max(cpu, 0.0), weights)) {
-    this->state.FindJob(id)->is_given_up = true;
+    this->state.FindJob(id)->is_abandoned = true;
   }
 }
 
@@ -122,7 +122,7 @@
   while (place != pool.ready.end() && *place < end) {
     const ReadyKey key = *place;
     JobState& job = *this->state.FindJob(key.job);
-    const bool is_meant = which == Which::kAll || job.is_given_up == (which == Which::kGivenUp);
+    const bool is_meant = which == Which::kAll || job.is_abandoned == (which == Which::kGivenUp);
     if (is_meant && !this->PlaceJob(job) &&
         ++this->misses >= this->state.options.misses_per_round) {
       return false;
@@ -149,16 +149,16 @@
 
 void PlacingRound::TellWait(JobState& job) {
   const bool is_late = this->wall_ms > job.deadline_ms;
-  if (this->wait == WaitReason::kNone || this->wait == job.told_wait || !is_late) {
+  if (this->wait == WaitReason::kNone || this->wait == job.reported_wait_reason || !is_late) {
     return;
   }
-  job.told_wait = this->wait;
-  this->state.Tell({"job_waits",
-                    {},
-                    job.job.id,
-                    "",
-                    std::string(ToString(this->wait)) + "; late by " +
-                        std::to_string(this->wall_ms - job.deadline_ms) + " ms"});
+  job.reported_wait_reason = this->wait;
+  this->state.ReportEvent({"job_waits",
+                           {},
+                           job.job.id,
+                           "",
+                           std::string(ToString(this->wait)) + "; late by " +
+                               std::to_string(this->wall_ms - job.deadline_ms) + " ms"});
 }
 
 bool PlacingRound::NeedsAdvice(const TaskRef& ref) const {
@@ -186,9 +186,10 @@
     if (!this->PlaceTask(ref, this->reserved, ref.task->progress.run + 1)) {
       // What no endpoint may run doesn't hold up those that come after it.
       const bool could_run = this->KeepRoomFor(ref);
-      const WaitReason nowhere =
-          this->placement.IsHeldByCordon(ref) ? WaitReason::kCordoned : WaitReason::kNowhere;
-      this->wait = could_run ? WaitReason::kNoRoom : nowhere;
+      const WaitReason nowhere = this->placement.IsHeldByCordon(ref)
+                                     ? WaitReason::kCordoned
+                                     : WaitReason::kNoEligibleEndpoint;
+      this->wait = could_run ? WaitReason::kNoCapacity : nowhere;
       return !could_run;
     }
   }
@@ -205,7 +206,7 @@
 
 bool PlacingRound::PlaceTask(const TaskRef& ref, const std::set<EndpointState*>& excluded,
                              std::uint64_t run) {
-  this->state.GiveUpRoom(ref.key);  // it is the task's own
+  this->state.ReleaseReservation(ref.key);  // it is the task's own
   EndpointState* endpoint = this->placement.Choose(ref, excluded, this->now);
   if (endpoint == nullptr) {
     return false;
--- a/src/jobs/run_tracker.cc
+++ b/src/jobs/run_tracker.cc
@@ -21,7 +21,7 @@
          ref.task->progress.run == run;
 }
 
-void RunTracker::OnHeld(EndpointState& endpoint, const HoldReport& report, TimePoint sent,
+void RunTracker::OnHeld(EndpointState& endpoint, const RenewalReport& report, TimePoint sent,
                         TimePoint now) {
   if (report.born_ms != 0 && endpoint.born_ms != 0 && report.born_ms < endpoint.born_ms) {
     return;  // a former life's answer that was overtaken
@@ -35,8 +35,8 @@
   const bool is_first = !endpoint.clock_ms.has_value();
   endpoint.clock_ms = report.clock_ms;
   endpoint.clock_at = now;
-  endpoint.heard = now;
-  endpoint.looked = std::max(endpoint.looked, sent);
+  endpoint.last_response = now;
+  endpoint.last_answered_request = std::max(endpoint.last_answered_request, sent);
   endpoint.is_silent = false;
   if (is_first) {
     // From here on no predecessor's order is obeyed, so no lease is longer than one of ours.
@@ -58,19 +58,20 @@
 }
 
 void RunTracker::TakeEnd(EndpointState& endpoint, const EndedRun& ended, TimePoint now) {
-  endpoint.strays.erase({ended.task, ended.run});
+  endpoint.orphaned_runs.erase({ended.task, ended.run});
   const TaskRef ref = this->state.Find(ended.task);
   if (!ref) {
     return;  // the job has ended and its tasks are forgotten
   }
   const bool is_mine = this->IsMine(ref, endpoint, ended.run);
-  this->state.NoteBegun(ref, endpoint, now);
-  this->state.Tell({"run_ended",
-                    ended.task,
-                    {},
-                    endpoint.record.id,
-                    ToString(ended.end),
-                    ended.end == RunEnd::kDone ? NoteWeight::kRoutine : NoteWeight::kNotable});
+  this->state.MarkStarted(ref, endpoint, now);
+  this->state.ReportEvent(
+      {"run_ended",
+       ended.task,
+       {},
+       endpoint.record.id,
+       ToString(ended.end),
+       ended.end == RunEnd::kDone ? NoteWeight::kRoutine : NoteWeight::kNotable});
   if (!ended.checkpoint.empty() && ref.task->progress.phase != TaskPhase::kDone) {
     ref.task->progress.checkpoint = ended.checkpoint;
   }
@@ -95,7 +96,7 @@
     this->TakeFailure(ref, endpoint, ended);
   }
   if (is_mine) {
-    this->state.BreakGang(ref, now);
+    this->state.StopGang(ref, now);
   }
   ref.task->not_before = now;
   if (ref.spec->is_long_running && ended.end != RunEnd::kStopped) {
@@ -106,19 +107,19 @@
 
 void RunTracker::TakeFailure(const TaskRef& ref, EndpointState& endpoint, const EndedRun& ended) {
   Task& task = *ref.task;
-  task.avoid = endpoint.record.id;
+  task.avoided_endpoint = endpoint.record.id;
   ++endpoint.failures;
   endpoint.failed_jobs.insert(ended.task.job);
   const bool has_several = endpoint.failed_jobs.size() > 1;
   if (endpoint.failures >= this->state.options.failures_to_eject && has_several) {
-    endpoint.ejected_until = endpoint.heard + this->state.options.ejection;
+    endpoint.ejected_until = endpoint.last_response + this->state.options.ejection;
     endpoint.failures = 0;
     endpoint.failed_jobs.clear();
-    this->state.Tell({"endpoint_ejected",
-                      ended.task,
-                      {},
-                      endpoint.record.id,
-                      "runs of several jobs failed in a row"});
+    this->state.ReportEvent({"endpoint_ejected",
+                             ended.task,
+                             {},
+                             endpoint.record.id,
+                             "runs of several jobs failed in a row"});
   }
   if (ref.spec->is_long_running) {
     return;
@@ -134,12 +135,12 @@
   if (failures >= ref.job->attempts && task.progress.phase == TaskPhase::kWaiting) {
     task.progress.phase = TaskPhase::kFailed;
     ref.job->is_failed = !ref.job->is_cancelled;
-    this->state.Tell({"job_failed",
-                      ended.task,
-                      {},
-                      endpoint.record.id,
-                      "failed " + std::to_string(failures) + " times"});
-    this->state.StopAll(*ref.job, endpoint.heard);
+    this->state.ReportEvent({"job_failed",
+                             ended.task,
+                             {},
+                             endpoint.record.id,
+                             "failed " + std::to_string(failures) + " times"});
+    this->state.StopAll(*ref.job, endpoint.last_response);
   }
 }
 
@@ -158,16 +159,16 @@
 void RunTracker::TakeActive(EndpointState& endpoint, const ActiveRun& active, TimePoint now) {
   const TaskRef ref = this->state.Find(active.task);
   if (ref) {
-    this->state.NoteBegun(ref, endpoint, now);
+    this->state.MarkStarted(ref, endpoint, now);
   }
   if (!this->IsMine(ref, endpoint, active.run)) {
-    endpoint.strays.try_emplace({active.task, active.run}, TimePoint{});
-    this->state.has_strays = true;
+    endpoint.orphaned_runs.try_emplace({active.task, active.run}, TimePoint{});
+    this->state.has_orphaned_runs = true;
     return;
   }
   Task& task = *ref.task;
-  task.is_shown = true;
-  if (task.state == RunState::kStarting || task.state == RunState::kUnsure) {
+  task.is_reported = true;
+  if (task.state == RunState::kStarting || task.state == RunState::kUnconfirmed) {
     task.state = RunState::kActive;
     task.since = now;
   }
@@ -175,7 +176,7 @@
     task.percent = active.percent;
     task.percent_since = now;
   }
-  if (ref.spec->is_long_running && active.percent >= kAtWork) {
+  if (ref.spec->is_long_running && active.percent >= kReadyPercent) {
     task.restarts = 0;
   }
   task.gauge = active.gauge;
@@ -184,14 +185,14 @@
   }
 }
 
-void RunTracker::DropMissing(EndpointState& endpoint, const HoldReport& report, TimePoint sent,
+void RunTracker::DropMissing(EndpointState& endpoint, const RenewalReport& report, TimePoint sent,
                              TimePoint now) {
   std::set<std::pair<TaskKey, std::uint64_t>> listed;
   for (const ActiveRun& active : report.active) {
     listed.insert({active.task, active.run});
   }
-  for (auto stray = endpoint.strays.begin(); stray != endpoint.strays.end();) {
-    stray = listed.contains(stray->first) ? std::next(stray) : endpoint.strays.erase(stray);
+  for (auto stray = endpoint.orphaned_runs.begin(); stray != endpoint.orphaned_runs.end();) {
+    stray = listed.contains(stray->first) ? std::next(stray) : endpoint.orphaned_runs.erase(stray);
   }
   std::vector<TaskRef> given_up;
   const std::vector<TaskKey> claims(endpoint.claims.begin(), endpoint.claims.end());
@@ -204,16 +205,17 @@
     const bool was_confirmed = task.state == RunState::kActive && task.since < sent;
     const bool is_settled =
         task.state == RunState::kStopping && task.stop_answered && *task.stop_answered < sent;
-    const bool is_past = (task.state == RunState::kUnsure || task.state == RunState::kStopping) &&
-                         task.start_expires < sent;
+    const bool is_past =
+        (task.state == RunState::kUnconfirmed || task.state == RunState::kStopping) &&
+        task.start_expires < sent;
     // This answer knows our token, so that a predecessor's order can't be carried out any more.
-    const bool is_fenced_off = task.state == RunState::kUnsure && task.is_adopted;
+    const bool is_fenced_off = task.state == RunState::kUnconfirmed && task.is_adopted;
     if (was_confirmed || is_settled || is_past || is_fenced_off) {
-      this->state.Tell({"run_absent",
-                        key,
-                        {},
-                        endpoint.record.id,
-                        "not listed by an answer that is newer than its order"});
+      this->state.ReportEvent({"run_absent",
+                               key,
+                               {},
+                               endpoint.record.id,
+                               "not listed by an answer that is newer than its order"});
       this->state.Release(ref);
       given_up.push_back(ref);
     }
@@ -225,14 +227,14 @@
 /// whose start can't arrive any more.
 void RunTracker::BreakGangsOf(const std::vector<TaskRef>& given_up, TimePoint now) {
   for (const TaskRef& ref : given_up) {
-    this->state.BreakGang(ref, now);
+    this->state.StopGang(ref, now);
   }
 }
 
 /// What can go wrong: the new life took a run before anybody here had heard of it. Released on the
 /// registry's word, the task would be started beside itself. So the registry's word only asks for a
 /// look, whose answer says what runs there.
-void RunTracker::OnNewLifeRegistered(EndpointState& endpoint, std::int64_t born_ms) {
+void RunTracker::OnRestartRegistered(EndpointState& endpoint, std::int64_t born_ms) {
   if (endpoint.claims.empty()) {
     Forget(endpoint);
     endpoint.born_ms = born_ms;
@@ -242,7 +244,7 @@
   endpoint.clock_ms.reset();
 }
 
-void RunTracker::OnNewLife(EndpointState& endpoint, const HoldReport& report, TimePoint now) {
+void RunTracker::OnNewLife(EndpointState& endpoint, const RenewalReport& report, TimePoint now) {
   std::set<std::pair<TaskKey, std::uint64_t>> kept;
   for (const ActiveRun& active : report.active) {
     kept.insert({active.task, active.run});
@@ -262,17 +264,17 @@
     }
     given_up.push_back(ref);
     // Of several tries, one that was overtaken may come after the run has been shown.
-    const bool is_settled = task.is_shown && task.start_tries <= 1;
+    const bool is_settled = task.is_reported && task.start_tries <= 1;
     const bool may_arrive = !task.is_adopted && !is_settled && task.state != RunState::kRecording;
     if (may_arrive) {
       // The start has no answer yet. Its time limit is on the former life's clock and doesn't hold
       // it back in this one, nor does a stop there; only a stop here does.
       this->state.BeginStop(ref, now);
-      task.ordered = TimePoint{};
+      task.last_order_sent = TimePoint{};
       task.stop_answered.reset();
       continue;
     }
-    this->state.Tell({"run_lost", key, {}, endpoint.record.id, "the endpoint started anew"});
+    this->state.ReportEvent({"run_lost", key, {}, endpoint.record.id, "the endpoint started anew"});
     this->state.Release(ref);
   }
   this->BreakGangsOf(given_up, now);
@@ -284,7 +286,7 @@
   endpoint.seen_end = 0;
   endpoint.stored_end = 0;
   endpoint.confirmed_end = 0;
-  endpoint.strays.clear();
+  endpoint.orphaned_runs.clear();
   endpoint.failures = 0;
   endpoint.failed_jobs.clear();
 }
@@ -293,19 +295,19 @@
   std::vector<TaskRef> given_up;
   const std::vector<TaskKey> claims(endpoint.claims.begin(), endpoint.claims.end());
   for (const TaskKey& key : claims) {
-    this->state.Tell({"run_lost", key, {}, endpoint.record.id, why});
+    this->state.ReportEvent({"run_lost", key, {}, endpoint.record.id, why});
     given_up.push_back(this->state.Find(key));
     this->state.Release(given_up.back());
   }
   this->BreakGangsOf(given_up, now);
 }
 
-void RunTracker::OnGone(EndpointState& endpoint, TimePoint now) {
+void RunTracker::OnEndpointReplaced(EndpointState& endpoint, TimePoint now) {
   this->Lose(endpoint, "another endpoint answers at its address", now);
   endpoint.is_silent = true;
 }
 
-void RunTracker::LapseLeases(TimePoint now) {
+void RunTracker::ReleaseExpiredLeases(TimePoint now) {
   for (const auto& [id, endpoint] : this->state.endpoints) {
     if (!endpoint->claims.empty() && now > endpoint->lease_end) {
       this->Lose(*endpoint, "its lease must have lapsed", now);
@@ -320,14 +322,14 @@
     return;
   }
   Task& task = *ref.task;
-  if (task.state != RunState::kStarting && task.state != RunState::kUnsure) {
+  if (task.state != RunState::kStarting && task.state != RunState::kUnconfirmed) {
     return;
   }
   switch (outcome) {
     case OrderOutcome::kDone:
-      this->state.NoteBegun(ref, *endpoint, now);
+      this->state.MarkStarted(ref, *endpoint, now);
       task.state = RunState::kActive;
-      task.is_shown = true;
+      task.is_reported = true;
       task.since = now;
       task.percent_since = now;
       return;
@@ -336,18 +338,18 @@
       return;
     case OrderOutcome::kRunTooOld:
     case OrderOutcome::kNoAnswer:
-      task.state = RunState::kUnsure;
-      this->state.unsettled.insert(order.task);
+      task.state = RunState::kUnconfirmed;
+      this->state.retry_candidates.insert(order.task);
       return;
     case OrderOutcome::kNotSent:
       endpoint->is_silent = true;
       if (task.start_tries > 1) {
-        task.state = RunState::kUnsure;
-        this->state.unsettled.insert(order.task);
+        task.state = RunState::kUnconfirmed;
+        this->state.retry_candidates.insert(order.task);
         return;
       }
       break;
-    case OrderOutcome::kNoRoom:
+    case OrderOutcome::kNoCapacity:
       endpoint->full_until = now + kFullPause;
       break;
     case OrderOutcome::kBadTicket:
@@ -357,19 +359,19 @@
     case OrderOutcome::kRefused:
       endpoint->full_until = now + kFullPause;
       break;
-    case OrderOutcome::kOtherLife:
-      this->OnGone(*endpoint, now);
+    case OrderOutcome::kOtherIncarnation:
+      this->OnEndpointReplaced(*endpoint, now);
       return;
   }
   // A try without answer may still be carried out; only the last answer speaks of this one.
   if (task.start_tries > 1) {
     this->state.BeginStop(ref, now);
-    this->state.BreakGang(ref, now);
+    this->state.StopGang(ref, now);
     return;
   }
-  this->state.Tell({"start_refused", order.task, {}, order.endpoint, ToString(outcome)});
+  this->state.ReportEvent({"start_refused", order.task, {}, order.endpoint, ToString(outcome)});
   this->state.Release(ref);
-  this->state.BreakGang(ref, now);
+  this->state.StopGang(ref, now);
 }
 
 void RunTracker::OnStopAnswered(const StopOrder& order, OrderOutcome outcome, TimePoint now) {
--- a/src/jobs/run_tracker.h
+++ b/src/jobs/run_tracker.h
@@ -14,25 +14,25 @@
  public:
   explicit RunTracker(SchedulerState& state) : state(state) {}
 
-  void OnHeld(EndpointState& endpoint, const HoldReport& report, TimePoint sent, TimePoint now);
+  void OnHeld(EndpointState& endpoint, const RenewalReport& report, TimePoint sent, TimePoint now);
   void OnStartAnswered(const StartOrder& order, OrderOutcome outcome, TimePoint now);
   void OnStopAnswered(const StopOrder& order, OrderOutcome outcome, TimePoint now);
   /// The registry tells of a life of the endpoint that has not answered here yet.
-  void OnNewLifeRegistered(EndpointState& endpoint, std::int64_t born_ms);
+  void OnRestartRegistered(EndpointState& endpoint, std::int64_t born_ms);
   /// Another endpoint answers at its address, so this one has ended.
-  void OnGone(EndpointState& endpoint, TimePoint now);
+  void OnEndpointReplaced(EndpointState& endpoint, TimePoint now);
   /// Gives up what ran on endpoints whose leases have lapsed.
-  void LapseLeases(TimePoint now);
+  void ReleaseExpiredLeases(TimePoint now);
 
  private:
   void TakeEnd(EndpointState& endpoint, const EndedRun& ended, TimePoint now);
   /// The answer comes from another life than the one that the claims belong to.
-  void OnNewLife(EndpointState& endpoint, const HoldReport& report, TimePoint now);
+  void OnNewLife(EndpointState& endpoint, const RenewalReport& report, TimePoint now);
   /// Drops what was known of the former life beside its claims.
   static void Forget(EndpointState& endpoint);
   void TakeFailure(const TaskRef& ref, EndpointState& endpoint, const EndedRun& ended);
   void TakeActive(EndpointState& endpoint, const ActiveRun& active, TimePoint now);
-  void DropMissing(EndpointState& endpoint, const HoldReport& report, TimePoint sent,
+  void DropMissing(EndpointState& endpoint, const RenewalReport& report, TimePoint sent,
                    TimePoint now);
   void ReleaseGangAfterDone(const TaskRef& ref, std::uint64_t run, TimePoint now);
   /// Of each gang that has lost one of these members, stops the others.
--- a/src/jobs/scheduler.cc
+++ b/src/jobs/scheduler.cc
@@ -69,12 +69,12 @@
     endpoint->is_registered = false;
   }
   for (const EndpointRecord& record : endpoints) {
-    EndpointState& endpoint = state.EndpointFor(record.id);
+    EndpointState& endpoint = state.GetOrCreateEndpoint(record.id);
     endpoint.is_registered = true;
     endpoint.record = record;
     endpoint.is_cordoned = state.cordoned_zones.contains(record.zone);
     if (record.born_ms > endpoint.born_ms) {
-      this->impl->tracker.OnNewLifeRegistered(endpoint, record.born_ms);
+      this->impl->tracker.OnRestartRegistered(endpoint, record.born_ms);
     }
   }
   std::erase_if(state.endpoints, [&state](const auto& entry) {
@@ -83,7 +83,7 @@
         !endpoint.is_registered && endpoint.claims.empty() && !endpoint.has_lapse_notice;
     if (is_gone) {
       state.endpoint_index.erase(entry.first);
-      std::erase_if(state.kept_rooms,
+      std::erase_if(state.reservations,
                     [&entry](const auto& kept) { return kept.second.endpoint == entry.first; });
     }
     return is_gone;
@@ -106,7 +106,7 @@
   if (job.IsScheduled()) {
     state.scheduled.insert(job.id);
   } else {
-    state.OccurrenceOf(entry, 0);
+    state.GetOrCreateOccurrence(entry, 0);
   }
   if (state.cancelled_early.erase(job.id) > 0) {
     entry.is_cancelled = true;
@@ -136,7 +136,7 @@
     job->job.id = id;
   }
   job->stored_phase = progress.phase;
-  job->has_begun = progress.phase == JobPhase::kRunning;
+  job->has_started = progress.phase == JobPhase::kRunning;
   job->ended_ms = progress.ended_ms;
   job->is_failed = progress.phase == JobPhase::kFailed;
   job->is_cancelled = job->is_cancelled || progress.phase == JobPhase::kCancelled;
@@ -167,7 +167,7 @@
   }
   for (const TaskRow& row : progress.rows) {
     const TaskKey key{id, row.occurrence, row.step, row.index};
-    state.OccurrenceOf(*job, row.occurrence);
+    state.GetOrCreateOccurrence(*job, row.occurrence);
     const TaskRef ref = state.Find(key);
     if (!ref) {
       continue;
@@ -178,7 +178,7 @@
       state.Adopt(ref);
     }
     if (row.progress.phase != TaskPhase::kPlaced) {
-      state.BeginStop(ref, state.began);
+      state.BeginStop(ref, state.term_start);
     }
     if (row.progress.phase == TaskPhase::kFailed) {
       job->is_failed = true;
@@ -188,7 +188,7 @@
     state.Advance(*job, number);
   }
   if (job->IsOver()) {
-    state.StopAll(*job, state.began);
+    state.StopAll(*job, state.term_start);
     this->impl->maybe_ended.push_back(id);
   }
   if (job->Phase() != job->stored_phase) {
@@ -198,7 +198,7 @@
 }
 
 void Scheduler::RestoreLapseNotices(const std::vector<LapseNotice>& notices) {
-  LapseReview(this->impl->state, this->impl->state.began).Restore(notices);
+  LapseReview(this->impl->state, this->impl->state.term_start).Restore(notices);
 }
 
 void Scheduler::NoteLeases(const std::map<std::string, TimePoint>& lease_ends) {
@@ -220,12 +220,12 @@
     return;
   }
   job->is_cancelled = true;
-  state.Tell({"job_cancelled", {}, id, "", "by its caller"});
-  state.StopAll(*job, state.began);
+  state.ReportEvent({"job_cancelled", {}, id, "", "by its caller"});
+  state.StopAll(*job, state.term_start);
   state.MarkDirty(*job);
 }
 
-void Scheduler::OnHeld(const HoldOrder& order, const HoldReport& report, TimePoint sent,
+void Scheduler::OnHeld(const RenewalOrder& order, const RenewalReport& report, TimePoint sent,
                        TimePoint now) {
   EndpointState* endpoint = this->impl->state.FindEndpoint(order.endpoint);
   if (endpoint == nullptr) {
@@ -247,12 +247,12 @@
     const bool is_batch = !ref.spec->is_long_running && !ref.spec->is_gang;
     if (is_batch && task.state == RunState::kActive &&
         now - task.percent_since > this->state.options.stall) {
-      this->state.Tell({"run_stalled",
-                        key,
-                        {},
-                        endpoint.record.id,
-                        "at " + std::to_string(task.percent) + "% for too long"});
-      ref.task->avoid = endpoint.record.id;
+      this->state.ReportEvent({"run_stalled",
+                               key,
+                               {},
+                               endpoint.record.id,
+                               "at " + std::to_string(task.percent) + "% for too long"});
+      ref.task->avoided_endpoint = endpoint.record.id;
       endpoint.ejected_until = now + this->state.options.ejection;
       this->state.BeginStop(ref, now);
     }
@@ -268,8 +268,8 @@
     return;
   }
   endpoint->is_silent = true;
-  if (outcome == OrderOutcome::kOtherLife) {
-    this->impl->tracker.OnGone(*endpoint, now);
+  if (outcome == OrderOutcome::kOtherIncarnation) {
+    this->impl->tracker.OnEndpointReplaced(*endpoint, now);
   }
 }
 
@@ -281,7 +281,7 @@
   this->impl->tracker.OnStopAnswered(order, outcome, now);
 }
 
-void Scheduler::OnPaceAnswered(const PaceOrder& order, OrderOutcome outcome) {
+void Scheduler::OnPaceAnswered(const ThrottleOrder& order, OrderOutcome outcome) {
   this->impl->pacing.OnAnswered(order, outcome);
 }
 
@@ -296,7 +296,7 @@
     while (job->next_due < job->job.repeats &&
            job->job.first_due_ms + job->next_due * job->job.interval_ms <= now_ms) {
       if (!job->complete_occurrences.contains(job->next_due)) {
-        this->state.OccurrenceOf(*job, job->next_due);
+        this->state.GetOrCreateOccurrence(*job, job->next_due);
         is_changed = true;
       }
       ++job->next_due;
@@ -319,15 +319,15 @@
     job->ended_ms = now_ms;
     job->occurrences.clear();
     this->state.ended.emplace_back(now_ms, id);
-    this->state.Tell({"job_ended",
-                      {},
-                      id,
-                      "",
-                      std::string(ToString(job->Phase())) + " " +
-                          std::to_string(now_ms - job->job.taken_ms) +
-                          " ms after it was accepted, " +
-                          (now_ms > job->deadline_ms ? "late by " : "in time by ") +
-                          std::to_string(std::abs(now_ms - job->deadline_ms)) + " ms"});
+    this->state.ReportEvent({"job_ended",
+                             {},
+                             id,
+                             "",
+                             std::string(ToString(job->Phase())) + " " +
+                                 std::to_string(now_ms - job->job.taken_ms) +
+                                 " ms after it was accepted, " +
+                                 (now_ms > job->deadline_ms ? "late by " : "in time by ") +
+                                 std::to_string(std::abs(now_ms - job->deadline_ms)) + " ms"});
     this->state.MarkDirty(*job);
     this->state.RefreshReady(*job);
   }
@@ -339,9 +339,9 @@
   self.CreateDueOccurrences(self.state.wall_ms);
   if (now - self.reviewed >= kReviewPace) {
     self.reviewed = now;
-    self.tracker.LapseLeases(now);
+    self.tracker.ReleaseExpiredLeases(now);
     LapseReview(self.state, now).Run();
-    self.state.GiveUpOldRooms(now);
+    self.state.ReleaseExpiredReservations(now);
     Evacuation(self.state, now).Run();
   }
   PlacingRound(self.state, now, self.state.wall_ms).Run();
@@ -368,16 +368,16 @@
   const bool is_known = endpoint->clock_ms.has_value();
   const bool is_clock_old = is_known && now - endpoint->clock_at > kClockKept;
   plan.is_needed =
-      has_claims || !endpoint->strays.empty() ||
+      has_claims || !endpoint->orphaned_runs.empty() ||
       (endpoint->is_registered && (!is_known || is_clock_old || endpoint->is_silent)) ||
       endpoint->confirmed_end < endpoint->seen_end;
-  const bool is_heard = is_known && now - endpoint->heard < state.options.silence;
+  const bool is_heard = is_known && now - endpoint->last_response < state.options.silence;
   const bool is_reached = is_known && (is_heard || !endpoint->is_silent);
   if (this->MayRenew(now) && has_claims && is_reached && !endpoint->has_lapse_notice) {
     const Duration lease = state.options.lease;
     plan.order.lease_end_ms =
         endpoint->EarliestClockAt(now, state.options.endpoint_clock_slowness) +
-        MillisecondsOf(lease);
+        ToMilliseconds(lease);
     endpoint->lease_end = std::max(endpoint->lease_end, now + state.options.LongestLease());
   }
   const bool may_wait =
--- a/src/jobs/scheduler_impl.h
+++ b/src/jobs/scheduler_impl.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "jobs/pacing.h"
+#include "jobs/filler_throttle.h"
 #include "jobs/run_tracker.h"
 #include "jobs/scheduler_state.h"
 
@@ -50,7 +50,7 @@
 
   SchedulerState state;
   RunTracker tracker;
-  Pacing pacing;
+  FillerThrottle pacing;
   /// What the batch that is being stored allows once it is.
   std::vector<std::pair<TaskKey, std::uint64_t>> recorded_starts;
   std::vector<std::pair<JobId, JobPhase>> recorded_phases;
--- a/src/jobs/scheduler_ready.cc
+++ b/src/jobs/scheduler_ready.cc
@@ -4,7 +4,7 @@
 
 namespace chervilspar::jobs {
 
-std::int64_t SchedulerState::RemainingChain(const JobState& job,
+std::int64_t SchedulerState::CriticalPathMs(const JobState& job,
                                             const Occurrence& occurrence) const {
   std::vector<std::int64_t> ends(job.job.steps.size(), 0);
   std::int64_t longest = 0;
@@ -14,7 +14,7 @@
       begin = std::max(begin, ends[earlier]);
     }
     const bool is_done = occurrence.steps[i].IsDone();
-    ends[i] = begin + (is_done ? 0 : std::max(job.job.steps[i].estimate_ms, kLeastEstimateMs));
+    ends[i] = begin + (is_done ? 0 : std::max(job.job.steps[i].estimate_ms, kMinEstimateMs));
     longest = std::max(longest, ends[i]);
   }
   return longest;
@@ -36,7 +36,7 @@
         const std::int64_t due =
             job.job.IsScheduled() ? std::int64_t{number} * job.job.interval_ms : 0;
         key = ReadyKey{job.job.IsLongRunning() ? 0 : 1 + priority,
-                       job.deadline_ms + due - this->RemainingChain(job, occurrence), job.job.id};
+                       job.deadline_ms + due - this->CriticalPathMs(job, occurrence), job.job.id};
         break;
       }
     }
@@ -71,7 +71,7 @@
   for (StepState& step : fresh.steps) {
     step.tasks.resize(1);
   }
-  const auto chain = static_cast<double>(this->RemainingChain(job, fresh));
+  const auto chain = static_cast<double>(this->CriticalPathMs(job, fresh));
   const auto target =
       std::chrono::duration_cast<std::chrono::milliseconds>(queue->second.target).count();
   const std::int64_t objective =
--- a/src/jobs/scheduler_records.cc
+++ b/src/jobs/scheduler_records.cc
@@ -46,7 +46,7 @@
   // Versions that read rows only may return once all entries have stored rows.
   if (job != nullptr && state.options.progress_form == ProgressForm::kRows &&
       IsCompactProgress(text)) {
-    state.Tell({"progress_rewritten", {}, id, "", "was stored in the compact form"});
+    state.ReportEvent({"progress_rewritten", {}, id, "", "was stored in the compact form"});
     state.MarkDirty(*job);
   }
   return Done{};
@@ -134,14 +134,14 @@
     if (is_in_time && is_wanted) {
       continue;
     }
-    this->state.Tell(
+    this->state.ReportEvent(
         {"start_withdrawn",
          key,
          {},
          endpoint.record.id,
          is_in_time ? "its endpoint gets no more work" : "it was stored too late for its lease"});
     this->state.Release(ref);
-    this->state.BreakGang(ref, now);
+    this->state.StopGang(ref, now);
   }
 }
 
@@ -183,8 +183,8 @@
     }
     ref.task->state = RunState::kStarting;
     ref.task->since = now;
-    if (!ref.job->first_ordered) {
-      ref.job->first_ordered = now;
+    if (!ref.job->first_start_sent) {
+      ref.job->first_start_sent = now;
     }
     orders.starts.push_back(round.StartOf(ref));
   }
--- a/src/jobs/scheduler_state.cc
+++ b/src/jobs/scheduler_state.cc
@@ -20,9 +20,9 @@
   switch (reason) {
     case WaitReason::kNone:
       return "nothing";
-    case WaitReason::kNoRoom:
+    case WaitReason::kNoCapacity:
       return "no endpoint of its pool has room";
-    case WaitReason::kNowhere:
+    case WaitReason::kNoEligibleEndpoint:
       return "no endpoint of its pool may run it";
     case WaitReason::kCordoned:
       return "each endpoint that may run it is in a zone that is cordoned";
@@ -34,7 +34,7 @@
   return "unknown";
 }
 
-Resources RoomFor(const Step& step) {
+Resources RequiredCapacity(const Step& step) {
   Resources need = step.need;
   if (step.is_filler) {
     need.cpu = 0;
@@ -42,7 +42,7 @@
   return need;
 }
 
-std::int64_t MillisecondsOf(Duration span) {
+std::int64_t ToMilliseconds(Duration span) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
 }
 
@@ -65,18 +65,18 @@
   if (this->is_failed) {
     return JobPhase::kFailed;
   }
-  return this->has_begun ? JobPhase::kRunning : JobPhase::kQueued;
+  return this->has_started ? JobPhase::kRunning : JobPhase::kQueued;
 }
 
 std::int64_t EndpointState::EarliestClockAt(TimePoint now, double slowness) const {
   const auto passed =
       std::chrono::duration_cast<Duration>((now - this->clock_at) * (1.0 - slowness));
-  return *this->clock_ms + MillisecondsOf(passed);
+  return *this->clock_ms + ToMilliseconds(passed);
 }
 
 SchedulerState::SchedulerState(const SchedulerOptions& options, std::uint64_t token,
-                               TimePoint began)
-    : options(options), token(token), began(began), proof(began) {}
+                               TimePoint term_start)
+    : options(options), token(token), term_start(term_start), proof(term_start) {}
 
 JobState* SchedulerState::FindJob(const JobId& id) {
   const auto found = this->jobs.find(id);
@@ -104,7 +104,7 @@
   return found == this->endpoint_index.end() ? nullptr : found->second;
 }
 
-EndpointState& SchedulerState::EndpointFor(const std::string& id) {
+EndpointState& SchedulerState::GetOrCreateEndpoint(const std::string& id) {
   std::unique_ptr<EndpointState>& slot = this->endpoints[id];
   if (slot == nullptr) {
     slot = std::make_unique<EndpointState>();
@@ -114,7 +114,7 @@
   return *slot;
 }
 
-Occurrence& SchedulerState::OccurrenceOf(JobState& job, std::uint32_t number) {
+Occurrence& SchedulerState::GetOrCreateOccurrence(JobState& job, std::uint32_t number) {
   const auto [place, is_new] = job.occurrences.try_emplace(number);
   if (is_new) {
     for (const Step& step : job.job.steps) {
@@ -139,7 +139,7 @@
 }
 
 void SchedulerState::CountUse(const TaskRef& ref, EndpointState& endpoint, bool is_added) {
-  const Resources room = RoomFor(*ref.spec);
+  const Resources room = RequiredCapacity(*ref.spec);
   Resources& team = this->team_usage[ref.job->job.team];
   if (is_added) {
     endpoint.used = endpoint.used + room;
@@ -154,33 +154,33 @@
   }
 }
 
-void SchedulerState::KeepRoom(const TaskRef& ref, EndpointState& endpoint, TimePoint until) {
-  this->GiveUpRoom(ref.key);
-  const Resources room = RoomFor(*ref.spec);
+void SchedulerState::ReserveCapacity(const TaskRef& ref, EndpointState& endpoint, TimePoint until) {
+  this->ReleaseReservation(ref.key);
+  const Resources room = RequiredCapacity(*ref.spec);
   endpoint.kept = endpoint.kept + room;
-  this->kept_rooms[ref.key] = {endpoint.record.id, room, until};
+  this->reservations[ref.key] = {endpoint.record.id, room, until};
 }
 
-void SchedulerState::GiveUpRoom(const TaskKey& key) {
-  const auto kept = this->kept_rooms.find(key);
-  if (kept == this->kept_rooms.end()) {
+void SchedulerState::ReleaseReservation(const TaskKey& key) {
+  const auto kept = this->reservations.find(key);
+  if (kept == this->reservations.end()) {
     return;
   }
   if (EndpointState* endpoint = this->FindEndpoint(kept->second.endpoint)) {
     endpoint->kept = endpoint->kept - kept->second.room;
   }
-  this->kept_rooms.erase(kept);
+  this->reservations.erase(kept);
 }
 
-void SchedulerState::GiveUpOldRooms(TimePoint now) {
+void SchedulerState::ReleaseExpiredReservations(TimePoint now) {
   std::vector<TaskKey> old;
-  for (const auto& [key, kept] : this->kept_rooms) {
+  for (const auto& [key, kept] : this->reservations) {
     if (kept.until < now) {
       old.push_back(key);
     }
   }
   for (const TaskKey& key : old) {
-    this->GiveUpRoom(key);
+    this->ReleaseReservation(key);
   }
 }
 
@@ -193,15 +193,15 @@
   task.progress.endpoint = endpoint.record.id;
   task.progress.endpoint_born_ms = endpoint.born_ms;
   task.state = RunState::kRecording;
-  task.lacks_place = false;
+  task.lacks_target = false;
   task.endpoint = &endpoint;
   task.since = now;
   task.percent = 0;
   task.percent_since = now;
   task.pace = 100;
-  task.ordered = now;
+  task.last_order_sent = now;
   task.is_adopted = false;
-  task.is_shown = false;
+  task.is_reported = false;
   task.start_tries = 0;
   task.stop_answered.reset();
   this->CountUse(ref, endpoint, true);
@@ -210,21 +210,22 @@
 
 void SchedulerState::Adopt(const TaskRef& ref) {
   Task& task = *ref.task;
-  EndpointState& endpoint = this->EndpointFor(task.progress.endpoint);
+  EndpointState& endpoint = this->GetOrCreateEndpoint(task.progress.endpoint);
   // Where the registry already tells of a new life, that one may have taken the run before the
   // predecessor heard of it; a look settles it.
   endpoint.born_ms = std::max(endpoint.born_ms, task.progress.endpoint_born_ms);
-  task.state = RunState::kUnsure;
+  task.state = RunState::kUnconfirmed;
   task.is_adopted = true;
-  this->unsettled.insert(ref.key);
+  this->retry_candidates.insert(ref.key);
   task.endpoint = &endpoint;
-  task.since = this->began;
-  task.percent_since = this->began;
+  task.since = this->term_start;
+  task.percent_since = this->term_start;
   task.pace.reset();
-  task.start_expires = this->began + this->options.predecessor_grace;
+  task.start_expires = this->term_start + this->options.predecessor_grace;
   // No start is repeated for a predecessor; what doesn't show up is stopped.
   task.start_tries = this->options.start_tries;
-  endpoint.lease_end = this->began + this->options.predecessor_grace + this->options.LongestLease();
+  endpoint.lease_end =
+      this->term_start + this->options.predecessor_grace + this->options.LongestLease();
   this->CountUse(ref, endpoint, true);
 }
 
@@ -248,7 +249,7 @@
 
 /// What can go wrong: a member was ordered and never came, or is lost, and the others hold their
 /// room and wait for it until their endpoints end them.
-void SchedulerState::BreakGang(const TaskRef& ref, TimePoint now) {
+void SchedulerState::StopGang(const TaskRef& ref, TimePoint now) {
   if (!ref.spec->is_gang) {
     return;
   }
@@ -269,18 +270,18 @@
     return;
   }
   task.state = RunState::kStopping;
-  this->unsettled.insert(ref.key);
+  this->retry_candidates.insert(ref.key);
   task.since = now;
-  task.ordered = TimePoint{};
+  task.last_order_sent = TimePoint{};
   task.stop_answered.reset();
 }
 
-void SchedulerState::NoteBegun(const TaskRef& ref, const EndpointState& endpoint, TimePoint now) {
+void SchedulerState::MarkStarted(const TaskRef& ref, const EndpointState& endpoint, TimePoint now) {
   JobState& job = *ref.job;
-  if (!job.has_begun) {
-    job.has_begun = true;
+  if (!job.has_started) {
+    job.has_started = true;
     job.begun = now;
-    this->TellBegun(ref, endpoint, now);
+    this->ReportStart(ref, endpoint, now);
   }
   // Otherwise nothing may be stored of it for long, and a successor would take it for waiting.
   const bool is_long = job.job.IsLongRunning() || ref.spec->estimate_ms >= kLongTaskMs;
@@ -289,21 +290,22 @@
   }
 }
 
-void SchedulerState::TellBegun(const TaskRef& ref, const EndpointState& endpoint, TimePoint now) {
+void SchedulerState::ReportStart(const TaskRef& ref, const EndpointState& endpoint, TimePoint now) {
   const JobState& job = *ref.job;
-  if (!job.first_ordered) {
-    this->Tell(
+  if (!job.first_start_sent) {
+    this->ReportEvent(
         {"job_found_running", ref.key, {}, endpoint.record.id, "ordered by an earlier owner"});
     return;
   }
-  this->Tell({"job_started",
-              ref.key,
-              {},
-              endpoint.record.id,
-              std::to_string(this->wall_ms - job.job.taken_ms) + " ms after it was accepted, " +
-                  std::to_string(job.deadline_ms - this->wall_ms) +
-                  " ms before it is late; first ordered " +
-                  std::to_string(MillisecondsOf(now - *job.first_ordered)) + " ms before"});
+  this->ReportEvent(
+      {"job_started",
+       ref.key,
+       {},
+       endpoint.record.id,
+       std::to_string(this->wall_ms - job.job.taken_ms) + " ms after it was accepted, " +
+           std::to_string(job.deadline_ms - this->wall_ms) +
+           " ms before it is late; first ordered " +
+           std::to_string(ToMilliseconds(now - *job.first_start_sent)) + " ms before"});
 }
 
 void SchedulerState::MarkDone(const TaskRef& ref, TimePoint now) {
@@ -339,8 +341,8 @@
   return std::any_of(endpoint.claims.begin(), endpoint.claims.end(), [this](const TaskKey& key) {
     const TaskRef ref = this->Find(key);
     const Task& task = *ref.task;
-    const bool is_starting = task.state == RunState::kActive && task.percent < kAtWork;
-    return ref.spec->is_long_running && (is_starting || task.state == RunState::kUnsure);
+    const bool is_starting = task.state == RunState::kActive && task.percent < kReadyPercent;
+    return ref.spec->is_long_running && (is_starting || task.state == RunState::kUnconfirmed);
   });
 }
 
@@ -351,7 +353,7 @@
   }
 }
 
-void SchedulerState::Tell(Note note) {
+void SchedulerState::ReportEvent(Note note) {
   if (this->notes.size() >= kMaxNotes) {
     ++this->notes_dropped;
     return;
--- a/src/jobs/scheduler_state.h
+++ b/src/jobs/scheduler_state.h
@@ -16,10 +16,10 @@
 struct EndpointState;
 
 /// A task without estimate counts as one of so many milliseconds.
-inline constexpr std::int64_t kLeastEstimateMs = 50;
+inline constexpr std::int64_t kMinEstimateMs = 50;
 
 /// The percent of a long-running task that has come to work.
-inline constexpr int kAtWork = 100;
+inline constexpr int kReadyPercent = 100;
 
 /// Where a task's run is, as this process knows it.
 enum class RunState {
@@ -29,7 +29,7 @@
   /// The start is on its way.
   kStarting,
   /// The start got no answer, or a predecessor placed it: it may run or come to run.
-  kUnsure,
+  kUnconfirmed,
   /// The endpoint has confirmed it.
   kActive,
   /// A stop is on its way; it counts until its end is known.
@@ -45,7 +45,7 @@
   /// When `state` began.
   TimePoint since{};
   /// When the last start or stop was sent.
-  TimePoint ordered{};
+  TimePoint last_order_sent{};
   /// After this, by our clock, an unanswered start can't be carried out any more.
   TimePoint start_expires{};
   /// The same on the endpoint's clock.
@@ -54,7 +54,7 @@
   /// Placed by a predecessor.
   bool is_adopted = false;
   /// The endpoint has shown this run; if it was ordered once, no start of it is under way any more.
-  bool is_shown = false;
+  bool is_reported = false;
   /// When the endpoint answered a stop of this run.
   std::optional<TimePoint> stop_answered;
   int percent = 0;
@@ -65,10 +65,10 @@
   TimePoint not_before{};
   int restarts = 0;
   /// Passed over in the next placement, as the last run failed there.
-  std::string avoid;
+  std::string avoided_endpoint;
   std::string ticket;
   /// It should leave its endpoint, and no other has room for it.
-  bool lacks_place = false;
+  bool lacks_target = false;
 
   bool IsWaiting() const {
     return this->state == RunState::kNone && this->progress.phase == TaskPhase::kWaiting;
@@ -100,7 +100,7 @@
 };
 
 /// Why a job's next task has no endpoint.
-enum class WaitReason { kNone, kNoRoom, kNowhere, kCordoned, kTeamLimit, kAdvice };
+enum class WaitReason { kNone, kNoCapacity, kNoEligibleEndpoint, kCordoned, kTeamLimit, kAdvice };
 
 const char* ToString(WaitReason reason);
 
@@ -127,9 +127,9 @@
   bool is_cancelled = false;
   bool is_failed = false;
   /// When this owner sent the first order to start one of its tasks.
-  std::optional<TimePoint> first_ordered;
+  std::optional<TimePoint> first_start_sent;
   /// An endpoint has shown a run of one of its tasks. An order alone may come to nothing.
-  bool has_begun = false;
+  bool has_started = false;
   /// When that was shown to this owner.
   TimePoint begun{};
   bool is_dirty = false;
@@ -143,9 +143,9 @@
   std::uint32_t claims = 0;
   std::optional<ReadyKey> ready;
   /// It could be on time, but not together with the others; see `OverloadPlan`.
-  bool is_given_up = false;
+  bool is_abandoned = false;
   /// Told of once for each reason, when the job is late.
-  WaitReason told_wait = WaitReason::kNone;
+  WaitReason reported_wait_reason = WaitReason::kNone;
 
   bool IsComplete() const { return this->complete_occurrences.size() == this->job.Occurrences(); }
   JobPhase Phase() const;
@@ -160,15 +160,15 @@
   /// Its zone is; see `ZoneCordon`.
   bool is_cordoned = false;
   /// Its VM is to be rebooted soon.
-  bool is_due = false;
+  bool is_reboot_due = false;
   /// The life that the claims belong to; 0 until it is known.
   std::int64_t born_ms = 0;
   /// Its clock at a moment of ours; nothing before its first answer.
   std::optional<std::int64_t> clock_ms;
   TimePoint clock_at{};
-  TimePoint heard{};
+  TimePoint last_response{};
   /// When the last renewal that was answered was sent.
-  TimePoint looked{};
+  TimePoint last_answered_request{};
   bool is_silent = false;
   /// By our clock, all that was started there has lost its lease at this time if nobody renews.
   TimePoint lease_end{};
@@ -177,7 +177,7 @@
   Resources kept;
   std::set<TaskKey> claims;
   /// Runs that nobody here knows, with the time of their last stop.
-  std::map<std::pair<TaskKey, std::uint64_t>, TimePoint> strays;
+  std::map<std::pair<TaskKey, std::uint64_t>, TimePoint> orphaned_runs;
   /// Highest end taken in, stored, and confirmed to the endpoint.
   std::uint64_t seen_end = 0;
   std::uint64_t stored_end = 0;
@@ -193,14 +193,14 @@
   /// When the last notice was made.
   TimePoint noticed{};
 
-  Resources Room() const { return this->record.capacity - this->used - this->kept; }
+  Resources FreeCapacity() const { return this->record.capacity - this->used - this->kept; }
   bool IsLeaving() const { return this->is_evacuating || this->record.is_draining; }
   /// The least that its clock may show, if it is by `slowness` slower than ours since it was read.
   /// A lease that is reckoned from it ends early rather than late.
   std::int64_t EarliestClockAt(TimePoint now, double slowness) const;
 };
 
-/// Room that is kept for one task.
+/// FreeCapacity that is kept for one task.
 struct KeptRoom {
   std::string endpoint;
   Resources room;
@@ -233,22 +233,22 @@
 
 /// The tables of the scheduler and the few operations that keep them in step with one another.
 struct SchedulerState {
-  SchedulerState(const SchedulerOptions& options, std::uint64_t token, TimePoint began);
+  SchedulerState(const SchedulerOptions& options, std::uint64_t token, TimePoint term_start);
 
   TaskRef Find(const TaskKey& key);
   JobState* FindJob(const JobId& id);
   EndpointState* FindEndpoint(const std::string& id);
-  EndpointState& EndpointFor(const std::string& id);
+  EndpointState& GetOrCreateEndpoint(const std::string& id);
 
   /// Makes the tasks of an occurrence unless they are there.
-  Occurrence& OccurrenceOf(JobState& job, std::uint32_t number);
+  Occurrence& GetOrCreateOccurrence(JobState& job, std::uint32_t number);
   /// Opens the steps whose predecessors are done, and counts the occurrence when all are.
   void Advance(JobState& job, std::uint32_t number);
 
   /// Keeps room for a task that is being moved to `endpoint`.
-  void KeepRoom(const TaskRef& ref, EndpointState& endpoint, TimePoint until);
-  void GiveUpRoom(const TaskKey& key);
-  void GiveUpOldRooms(TimePoint now);
+  void ReserveCapacity(const TaskRef& ref, EndpointState& endpoint, TimePoint until);
+  void ReleaseReservation(const TaskKey& key);
+  void ReleaseExpiredReservations(TimePoint now);
   void Claim(const TaskRef& ref, EndpointState& endpoint, std::uint64_t run, TimePoint now);
   /// The run is over or never was; its room is free.
   void Release(const TaskRef& ref);
@@ -256,10 +256,10 @@
   void Adopt(const TaskRef& ref);
   void BeginStop(const TaskRef& ref, TimePoint now);
   /// Stops what runs of the gang that the task belongs to, if any.
-  void BreakGang(const TaskRef& ref, TimePoint now);
+  void StopGang(const TaskRef& ref, TimePoint now);
   /// An endpoint has shown that a run of the task has begun.
-  void NoteBegun(const TaskRef& ref, const EndpointState& endpoint, TimePoint now);
-  void TellBegun(const TaskRef& ref, const EndpointState& endpoint, TimePoint now);
+  void MarkStarted(const TaskRef& ref, const EndpointState& endpoint, TimePoint now);
+  void ReportStart(const TaskRef& ref, const EndpointState& endpoint, TimePoint now);
   void MarkDone(const TaskRef& ref, TimePoint now);
   /// Ends all that runs of a job that is cancelled or has failed.
   void StopAll(JobState& job, TimePoint now);
@@ -272,11 +272,11 @@
   /// A long-running task runs there and isn't at work yet, or may run there.
   bool HasStartingTask(const EndpointState& endpoint);
   bool IsWithinCap(const JobState& job, const Resources& need) const;
-  void Tell(Note note);
+  void ReportEvent(Note note);
 
   const SchedulerOptions options;
   const std::uint64_t token;
-  const TimePoint began;
+  const TimePoint term_start;
   Policy policy;
   std::set<ZoneId> cordoned_zones;
   /// The time of day at the last decision, in Unix milliseconds.
@@ -291,33 +291,33 @@
   /// The same by hash, for the thousands of look-ups of a round.
   std::unordered_map<std::string, EndpointState*> endpoint_index;
   std::map<ServiceId, PoolState> pools;
-  std::map<TaskKey, KeptRoom> kept_rooms;
+  std::map<TaskKey, KeptRoom> reservations;
   /// Lapse notices to be stored, or dropped, with the next batch, by endpoint.
   std::map<std::string, std::optional<std::string>> lapse_changes;
   std::map<TeamId, Resources> team_usage;
   std::vector<JobId> dirty;
   /// Tasks whose start or stop may have to be sent again.
-  std::set<TaskKey> unsettled;
-  std::vector<PaceOrder> paces;
+  std::set<TaskKey> retry_candidates;
+  std::vector<ThrottleOrder> paces;
   std::vector<Note> notes;
   std::uint64_t notes_dropped = 0;
   bool is_superseded = false;
   /// Some endpoint may have runs that nobody here knows.
-  bool has_strays = false;
+  bool has_orphaned_runs = false;
   /// Some endpoint may have told ends that are not in a batch yet.
   bool has_new_ends = false;
   /// Until this time there was certainly no successor.
   TimePoint proof;
 
  private:
-  std::int64_t RemainingChain(const JobState& job, const Occurrence& occurrence) const;
+  std::int64_t CriticalPathMs(const JobState& job, const Occurrence& occurrence) const;
   void CountUse(const TaskRef& ref, EndpointState& endpoint, bool is_added);
 };
 
 /// What one task takes of an endpoint: a filler's cpu isn't counted there.
-Resources RoomFor(const Step& step);
+Resources RequiredCapacity(const Step& step);
 
-std::int64_t MillisecondsOf(Duration span);
+std::int64_t ToMilliseconds(Duration span);
 std::int64_t ToUnixMs(WallTime wall);
 
 }  // namespace chervilspar::jobs
--- a/src/jobs/scheduler_views.cc
+++ b/src/jobs/scheduler_views.cc
@@ -15,7 +15,7 @@
 std::vector<std::int64_t> ChainsFrom(const Job& job) {
   std::vector<std::int64_t> chains(job.steps.size(), 0);
   for (std::size_t i = chains.size(); i-- > 0;) {
-    chains[i] += std::max(job.steps[i].estimate_ms, kLeastEstimateMs);
+    chains[i] += std::max(job.steps[i].estimate_ms, kMinEstimateMs);
     for (const std::uint32_t earlier : job.steps[i].after) {
       chains[earlier] = std::max(chains[earlier], chains[i]);
     }
@@ -39,7 +39,7 @@
 
 bool IsUnconfirmed(const Task& task) {
   return task.state == RunState::kRecording || task.state == RunState::kStarting ||
-         task.state == RunState::kUnsure;
+         task.state == RunState::kUnconfirmed;
 }
 
 StepCount CountTasks(const StepState& state) {
@@ -97,7 +97,7 @@
 
 void Scheduler::SetDue(const std::set<std::string>& endpoints) {
   for (const auto& [id, endpoint] : this->impl->state.endpoints) {
-    endpoint->is_due = endpoints.contains(id);
+    endpoint->is_reboot_due = endpoints.contains(id);
   }
 }
 
@@ -116,7 +116,7 @@
   }
   EndpointUse use;
   use.used = endpoint->used;
-  use.is_empty = endpoint->claims.empty() && endpoint->strays.empty();
+  use.is_empty = endpoint->claims.empty() && endpoint->orphaned_runs.empty();
   use.is_silent = endpoint->is_silent;
   use.is_serving = endpoint->is_registered && !endpoint->record.is_draining && !endpoint->is_silent;
   for (const TaskKey& key : endpoint->claims) {
@@ -157,24 +157,25 @@
           const std::int64_t latest = job->deadline_ms + begin_ms - chains[i];
           const auto slack_ms = static_cast<double>(latest - this->impl->state.wall_ms);
           const auto estimate =
-              static_cast<double>(std::max<std::int64_t>(spec.estimate_ms, kLeastEstimateMs));
+              static_cast<double>(std::max<std::int64_t>(spec.estimate_ms, kMinEstimateMs));
           const StepCount count = CountTasks(step);
           const bool is_late = this->impl->state.wall_ms > job->deadline_ms + begin_ms;
-          AddStep(count, step.is_open, is_late, static_cast<double>(RoomFor(spec).cpu), estimate,
-                  slack_ms, load.cpu);
-          AddStep(count, step.is_open, is_late, static_cast<double>(RoomFor(spec).memory_mb),
-                  estimate, slack_ms, load.memory);
+          AddStep(count, step.is_open, is_late, static_cast<double>(RequiredCapacity(spec).cpu),
+                  estimate, slack_ms, load.cpu);
+          AddStep(count, step.is_open, is_late,
+                  static_cast<double>(RequiredCapacity(spec).memory_mb), estimate, slack_ms,
+                  load.memory);
           continue;
         }
         for (const Task& task : step.tasks) {
-          const bool lacks_place =
-              task.lacks_place && task.endpoint != nullptr && task.endpoint->IsLeaving();
-          if (IsInCordonedZone(task) && !lacks_place) {
+          const bool lacks_target =
+              task.lacks_target && task.endpoint != nullptr && task.endpoint->IsLeaving();
+          if (IsInCordonedZone(task) && !lacks_target) {
             continue;
           }
-          load.cpu.long_running += static_cast<double>(RoomFor(spec).cpu);
-          load.memory.long_running += static_cast<double>(RoomFor(spec).memory_mb);
-          load.waiting_long_running += task.IsWaiting() || lacks_place ? 1 : 0;
+          load.cpu.long_running += static_cast<double>(RequiredCapacity(spec).cpu);
+          load.memory.long_running += static_cast<double>(RequiredCapacity(spec).memory_mb);
+          load.waiting_long_running += task.IsWaiting() || lacks_target ? 1 : 0;
         }
       }
     }
@@ -228,13 +229,14 @@
   }
   const WaitingJobs& waiting = pending.queues[queue];
   if (pending.told.insert(queue).second) {
-    this->impl->state.Tell({"waiting_jobs_told",
-                            {},
-                            {},
-                            "",
-                            queue + ": " + std::to_string(waiting.jobs) + ", of these " +
-                                std::to_string(waiting.claimed) + " with a claim, " +
-                                std::to_string(waiting.returned) + " whose claims were given up"});
+    this->impl->state.ReportEvent({"waiting_jobs_told",
+                                   {},
+                                   {},
+                                   "",
+                                   queue + ": " + std::to_string(waiting.jobs) + ", of these " +
+                                       std::to_string(waiting.claimed) + " with a claim, " +
+                                       std::to_string(waiting.returned) +
+                                       " whose claims were given up"});
   }
   return waiting.jobs;
 }
@@ -242,7 +244,7 @@
 PendingCount Scheduler::Impl::CountPending() const {
   PendingCount count{.counted_ms = this->state.wall_ms, .queues = {}, .told = {}};
   for (const auto& [id, job] : this->state.jobs) {
-    if (job->has_begun || job->IsOver()) {
+    if (job->has_started || job->IsOver()) {
       continue;
     }
     WaitingJobs& waiting = count.queues[job->job.queue];
--- a/src/jobs/order_budget.cc
+++ b/src/jobs/vm_order_rate_limiter.cc
@@ -1,4 +1,4 @@
-#include "chervilspar/jobs/order_budget.h"
+#include "chervilspar/jobs/vm_order_rate_limiter.h"
 
 #include <algorithm>
 #include <chrono>
@@ -13,16 +13,17 @@
 
 }  // namespace
 
-OrderBudget::OrderBudget(double rate) : rate(rate), left(std::max(1.0, rate * kBurstSeconds)) {}
+VmOrderRateLimiter::VmOrderRateLimiter(double rate)
+    : rate(rate), left(std::max(1.0, rate * kBurstSeconds)) {}
 
-void OrderBudget::Refill(TimePoint now) {
+void VmOrderRateLimiter::Refill(TimePoint now) {
   const std::chrono::duration<double> passed = now - this->refilled;
   const double most = std::max(1.0, this->rate * kBurstSeconds);
   this->left = std::min(most, this->left + std::max(0.0, passed.count()) * this->rate);
   this->refilled = std::max(this->refilled, now);
 }
 
-bool OrderBudget::Take(TimePoint now) {
+bool VmOrderRateLimiter::TryAcquire(TimePoint now) {
   this->Refill(now);
   if (this->left < 1.0) {
     return false;
@@ -31,7 +32,7 @@
   return true;
 }
 
-void OrderBudget::OnRefused(TimePoint now) {
+void VmOrderRateLimiter::OnRefused(TimePoint now) {
   this->Refill(now);
   this->left = std::min(this->left, 0.0);
 }
--- a/src/rpc/carrier_message.cc
+++ b/src/rpc/carrier_message.cc
@@ -76,7 +76,7 @@
     }
   }
 
-  void AddHold(std::uint64_t number, const jobs::HoldOrder& order) {
+  void AddHold(std::uint64_t number, const jobs::RenewalOrder& order) {
     gen::WireHold& hold = this->wire.holds.emplace_back();
     this->SetCommon(number, order, hold);
     hold.confirmed_end = static_cast<std::int64_t>(order.confirmed_end);
@@ -112,7 +112,7 @@
   std::map<std::string_view, std::int32_t> payloads;
 };
 
-gen::WireReport ToWire(const jobs::HoldReport& report) {
+gen::WireReport ToWire(const jobs::RenewalReport& report) {
   gen::WireReport wire;
   wire.clock = report.clock_ms;
   wire.born = report.born_ms;
@@ -212,14 +212,14 @@
     batch.stops.push_back(std::move(carried));
   }
   for (const gen::WirePace& pace : wire.paces) {
-    auto carried = CommonOf<jobs::PaceOrder>(wire, pace);
+    auto carried = CommonOf<jobs::ThrottleOrder>(wire, pace);
     carried.order.task = TaskOf(pace.run);
     carried.order.run = static_cast<std::uint64_t>(pace.run.run);
     carried.order.percent = pace.percent;
     batch.paces.push_back(std::move(carried));
   }
   for (const gen::WireHold& hold : wire.holds) {
-    auto carried = CommonOf<jobs::HoldOrder>(wire, hold);
+    auto carried = CommonOf<jobs::RenewalOrder>(wire, hold);
     carried.order.confirmed_end = static_cast<std::uint64_t>(hold.confirmed_end);
     carried.order.wait = SpanOf(hold.wait, "wait");
     if (hold.__isset.lease_end) {
@@ -230,8 +230,8 @@
   return batch;
 }
 
-jobs::HoldReport FromWire(const gen::WireReport& wire) {
-  jobs::HoldReport report;
+jobs::RenewalReport FromWire(const gen::WireReport& wire) {
+  jobs::RenewalReport report;
   report.clock_ms = wire.clock;
   report.born_ms = wire.born;
   for (const gen::WireActive& active : wire.active) {
--- a/tests/idempotency/client_test.cc
+++ b/tests/idempotency/client_test.cc
@@ -79,7 +79,7 @@
   EXPECT_TRUE(holds);
 }
 
-enum class Step { kReplyYes, kReplyNo, kGiveUp, kOtherLife };
+enum class Step { kReplyYes, kReplyNo, kGiveUp, kOtherIncarnation };
 
 struct ReplyCase {
   std::string name;
@@ -108,7 +108,7 @@
       case Step::kGiveUp:
         client.GiveUp(reply.attempt, At(1));
         break;
-      case Step::kOtherLife:
+      case Step::kOtherIncarnation:
         reply.attempt.incarnation.nonce = 99;
         break;
     }
@@ -124,7 +124,8 @@
         ReplyCase{"Refused", {Step::kReplyNo}, ReplyUse::kRefuse},
         ReplyCase{"LeaveAfterRefusal", {Step::kReplyNo, Step::kReplyYes}, ReplyUse::kIgnore},
         ReplyCase{"TooLate", {Step::kGiveUp, Step::kReplyYes}, ReplyUse::kIgnore},
-        ReplyCase{"ForAPredecessor", {Step::kOtherLife, Step::kReplyYes}, ReplyUse::kIgnore}),
+        ReplyCase{
+            "ForAPredecessor", {Step::kOtherIncarnation, Step::kReplyYes}, ReplyUse::kIgnore}),
     [](const auto& info) { return info.param.name; });
 
 TEST(RequestClientTest, RepeatsAnOutcomeUntilItIsSeen) {
--- a/tests/job_entry/fake_endpoints.cc
+++ b/tests/job_entry/fake_endpoints.cc
@@ -92,7 +92,7 @@
   co_return this->is_cut || found.is_dark ? nullptr : &found;
 }
 
-asio::awaitable<HeldOutcome> FakeEndpointLink::Hold(jobs::HoldOrder order, Duration timeout) {
+asio::awaitable<HeldOutcome> FakeEndpointLink::Hold(jobs::RenewalOrder order, Duration timeout) {
   HeldOutcome held;
   const TimePoint give_up = Now() + order.wait;
   const std::int64_t born_ms = this->all.endpoints[order.endpoint].born_ms;
@@ -133,7 +133,7 @@
     co_return held;
   }
   held.outcome = OrderOutcome::kDone;
-  held.report = jobs::HoldReport{};
+  held.report = jobs::RenewalReport{};
   held.report->clock_ms = ClockMs(Now());
   held.report->born_ms = endpoint->born_ms;
   held.report->ended = endpoint->ended;
@@ -200,7 +200,7 @@
   co_return OrderOutcome::kDone;
 }
 
-asio::awaitable<OrderOutcome> FakeEndpointLink::Pace(jobs::PaceOrder order, Duration timeout) {
+asio::awaitable<OrderOutcome> FakeEndpointLink::Pace(jobs::ThrottleOrder order, Duration timeout) {
   FakeEndpoints::Endpoint* endpoint = co_await this->Reach(order.endpoint, timeout);
   co_return endpoint == nullptr ? OrderOutcome::kNoAnswer : OrderOutcome::kDone;
 }
--- a/tests/jobs/carrier_choice_test.cc
+++ b/tests/jobs/carrier_choice_test.cc
@@ -70,12 +70,12 @@
   CarrierChoice choice({}, 0.1);
   choice.SetCarriers({kEast1});
   choice.SetEndpoints(Endpoints(100, "east"));
-  choice.OnMissed(kEast1.address, kNow);
+  choice.OnUnanswered(kEast1.address, kNow);
   EXPECT_EQ(choice.Choose("i1", kNow), kEast1.address) << "one miss may be the endpoint's fault";
   choice.OnAnswered(kEast1.address);
-  choice.OnMissed(kEast1.address, kNow);
+  choice.OnUnanswered(kEast1.address, kNow);
   EXPECT_EQ(choice.Choose("i1", kNow), kEast1.address);
-  choice.OnMissed(kEast1.address, kNow);
+  choice.OnUnanswered(kEast1.address, kNow);
   EXPECT_EQ(choice.Choose("i1", kNow), std::nullopt);
   EXPECT_EQ(choice.Choose("i1", kNow + milliseconds(2001)), kEast1.address);
 }
@@ -89,8 +89,8 @@
   choice.SetCarriers({kEast1, kEast2, kEast3, kWest});
   choice.SetEndpoints(Endpoints(100, "east"));
   for (const Carrier& carrier : {kEast1, kEast2, kEast3, kWest}) {
-    choice.OnMissed(carrier.address, kNow);
-    choice.OnMissed(carrier.address, kNow);
+    choice.OnUnanswered(carrier.address, kNow);
+    choice.OnUnanswered(carrier.address, kNow);
   }
   EXPECT_EQ(choice.Choose("i1", kNow), std::nullopt);
   choice.OnAnsweredLate(kEast2.address, kNow);
@@ -102,8 +102,8 @@
   CarrierChoice choice({}, 0.1);
   choice.SetCarriers({kEast1, kWest});
   choice.SetEndpoints(Endpoints(100, "east"));
-  choice.OnMissed(kEast1.address, kNow);
-  choice.OnMissed(kEast1.address, kNow);
+  choice.OnUnanswered(kEast1.address, kNow);
+  choice.OnUnanswered(kEast1.address, kNow);
   choice.OnAnsweredLate(kEast1.address, kNow);
   EXPECT_EQ(choice.Choose("i1", kNow), std::nullopt);
 }
@@ -113,8 +113,8 @@
   CarrierChoice choice({}, 0.1);
   choice.SetCarriers({kEast1});
   choice.SetEndpoints(Endpoints(100, "east"));
-  choice.OnMissed(kEast1.address, kNow);
-  choice.OnMissed(kEast1.address, kNow);
+  choice.OnUnanswered(kEast1.address, kNow);
+  choice.OnUnanswered(kEast1.address, kNow);
   choice.SetCarriers({kEast1, kWest, kEast1});
   EXPECT_EQ(choice.Choose("i1", kNow), std::nullopt);
   choice.SetCarriers({kEast2});
--- a/tests/jobs/pacing_test.cc
+++ b/tests/jobs/filler_throttle_test.cc
@@ -35,7 +35,7 @@
   }
 
   /// The endpoint tells the response time; gives the orders for the filler that follow.
-  std::vector<PaceOrder> Hear(std::int64_t response_ms) {
+  std::vector<ThrottleOrder> Hear(std::int64_t response_ms) {
     std::vector<ActiveRun> active;
     for (const StartOrder& start : this->starts) {
       active.push_back(World::Active(start, 100));
@@ -67,7 +67,7 @@
   paced.Start();
   ASSERT_EQ(paced.starts.size(), 2U);
   paced.Hear(kNearTarget);
-  std::vector<PaceOrder> orders;
+  std::vector<ThrottleOrder> orders;
   for (int i = 0; i < 10; ++i) {
     orders = paced.Hear(GetParam().response_ms);
     ASSERT_EQ(orders.size(), 1U);
@@ -78,7 +78,7 @@
   }
   ASSERT_EQ(orders[0].percent, GetParam().last_pace);
   paced.world.scheduler.OnPaceAnswered(orders[0], GetParam().outcome);
-  const std::vector<PaceOrder> again = paced.Hear(GetParam().response_ms);
+  const std::vector<ThrottleOrder> again = paced.Hear(GetParam().response_ms);
   EXPECT_EQ(!again.empty(), GetParam().is_ordered_again);
   EXPECT_TRUE(again.empty() || again[0] == orders[0]);
 }
@@ -117,7 +117,7 @@
   }
   after.world.scheduler.SetEndpoints(before.world.endpoints, after.world.now);
   std::vector<int> paces;
-  for (const PaceOrder& order : after.Hear(GetParam().response_ms)) {
+  for (const ThrottleOrder& order : after.Hear(GetParam().response_ms)) {
     EXPECT_EQ(order.task.job, JobId{2});
     paces.push_back(order.percent);
   }
--- a/tests/jobs/gang_test.cc
+++ b/tests/jobs/gang_test.cc
@@ -72,7 +72,7 @@
     Members, GangWithoutAMember,
     ::testing::Values(MemberCase{"refused",
                                  [](World& world, const StartOrder& start) {
-                                   Answer(world, start, OrderOutcome::kNoRoom);
+                                   Answer(world, start, OrderOutcome::kNoCapacity);
                                  },
                                  kMembersWait},
                       MemberCase{"never_answered",
@@ -85,7 +85,7 @@
                                    Answer(world, start, OrderOutcome::kNoAnswer);
                                    world.Pass(SchedulerOptions{}.start_retry);
                                    world.Round();
-                                   Answer(world, start, OrderOutcome::kNoRoom);
+                                   Answer(world, start, OrderOutcome::kNoCapacity);
                                  },
                                  kMembersWait},
                       MemberCase{"confirmed_and_not_listed",
@@ -103,7 +103,7 @@
                                  kMembersWait},
                       MemberCase{"another_endpoint_at_its_address",
                                  [](World& world, const StartOrder& start) {
-                                   Answer(world, start, OrderOutcome::kOtherLife);
+                                   Answer(world, start, OrderOutcome::kOtherIncarnation);
                                  },
                                  kMembersWait},
                       MemberCase{"lease_lapsed",
@@ -156,30 +156,33 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Changes, GangBeingStored,
-    ::testing::Values(
-        WithdrawalCase{
-            "emptied",
-            [](World& world, const std::string& id) { world.scheduler.BeginEvacuation(id); }},
-        WithdrawalCase{"draining",
-                       [](World& world, const std::string& id) {
-                         for (EndpointRecord& record : world.endpoints) {
-                           record.is_draining = record.id == id;
-                         }
-                         world.scheduler.SetEndpoints(world.endpoints, world.now);
-                       }},
-        WithdrawalCase{"unregistered",
-                       [](World& world, const std::string& id) {
-                         std::erase_if(world.endpoints, [&](const EndpointRecord& record) {
-                           return record.id == id;
-                         });
-                         world.scheduler.SetEndpoints(world.endpoints, world.now);
-                       }},
-        WithdrawalCase{"another_endpoint_at_its_address",
-                       [](World& world, const std::string& id) {
-                         world.scheduler.OnHoldFailed(id, OrderOutcome::kOtherLife, world.now);
-                       }},
-        WithdrawalCase{"started_anew",
-                       [](World& world, const std::string& id) { world.Hold(id, {}, {}, 2); }}),
+    ::testing::Values(WithdrawalCase{"emptied",
+                                     [](World& world, const std::string& id) {
+                                       world.scheduler.BeginEvacuation(id);
+                                     }},
+                      WithdrawalCase{"draining",
+                                     [](World& world, const std::string& id) {
+                                       for (EndpointRecord& record : world.endpoints) {
+                                         record.is_draining = record.id == id;
+                                       }
+                                       world.scheduler.SetEndpoints(world.endpoints, world.now);
+                                     }},
+                      WithdrawalCase{"unregistered",
+                                     [](World& world, const std::string& id) {
+                                       std::erase_if(world.endpoints,
+                                                     [&](const EndpointRecord& record) {
+                                                       return record.id == id;
+                                                     });
+                                       world.scheduler.SetEndpoints(world.endpoints, world.now);
+                                     }},
+                      WithdrawalCase{"another_endpoint_at_its_address",
+                                     [](World& world, const std::string& id) {
+                                       world.scheduler.OnHoldFailed(
+                                           id, OrderOutcome::kOtherIncarnation, world.now);
+                                     }},
+                      WithdrawalCase{
+                          "started_anew",
+                          [](World& world, const std::string& id) { world.Hold(id, {}, {}, 2); }}),
     [](const auto& info) { return info.param.name; });
 
 }  // namespace
--- a/tests/jobs/interim_leases_test.cc
+++ b/tests/jobs/interim_leases_test.cc
@@ -21,8 +21,8 @@
     this->leases.SetProof(this->now);
   }
 
-  static HoldReport Report(bool has_runs) {
-    HoldReport report;
+  static RenewalReport Report(bool has_runs) {
+    RenewalReport report;
     report.clock_ms = kClockMs;
     report.born_ms = 1;
     if (has_runs) {
@@ -39,15 +39,15 @@
 /// What runs lapses before the jobs are read. An end that is confirmed before its job is known is
 /// lost, and so is what a look waits for.
 TEST_F(Interim, LooksEverywhereAndRenewsWhereSomethingRuns) {
-  const std::vector<HoldOrder> looks = this->leases.Plan(this->now);
+  const std::vector<RenewalOrder> looks = this->leases.Plan(this->now);
   ASSERT_EQ(looks.size(), 2U);
   EXPECT_EQ(looks[0].lease_end_ms, std::nullopt) << "its clock isn't known";
-  EXPECT_FALSE(this->leases.IsSettled());
+  EXPECT_FALSE(this->leases.IsPollDone());
   this->leases.OnAnswered("a", Report(true), this->now);
   this->leases.OnAnswered("b", Report(false), this->now);
-  EXPECT_TRUE(this->leases.IsSettled());
+  EXPECT_TRUE(this->leases.IsPollDone());
   this->now += milliseconds(100);
-  const std::vector<HoldOrder> renewals = this->leases.Plan(this->now);
+  const std::vector<RenewalOrder> renewals = this->leases.Plan(this->now);
   ASSERT_EQ(renewals.size(), 1U);
   EXPECT_EQ(renewals[0].endpoint, "a");
   EXPECT_EQ(renewals[0].token, kToken);
@@ -75,7 +75,7 @@
   this->leases.Plan(this->now);
   this->leases.OnAnswered("a", std::nullopt, this->now);
   EXPECT_TRUE(this->leases.Plan(this->now + milliseconds(100)).empty());
-  const std::vector<HoldOrder> looks = this->leases.Plan(this->now + milliseconds(300));
+  const std::vector<RenewalOrder> looks = this->leases.Plan(this->now + milliseconds(300));
   ASSERT_EQ(looks.size(), 1U);
   EXPECT_EQ(looks[0].endpoint, "a");
 }
@@ -86,7 +86,7 @@
   this->leases.Plan(this->now);
   this->leases.OnAnswered("a", Report(true), this->now);
   this->now += this->options.predecessor_grace;
-  const std::vector<HoldOrder> orders = this->leases.Plan(this->now);
+  const std::vector<RenewalOrder> orders = this->leases.Plan(this->now);
   ASSERT_EQ(orders.size(), 1U);
   EXPECT_EQ(orders[0].lease_end_ms, std::nullopt);
   EXPECT_TRUE(this->leases.LeaseEnds().empty());
--- a/tests/jobs/scheduler_test.cc
+++ b/tests/jobs/scheduler_test.cc
@@ -431,11 +431,11 @@
     return world.Round().paces;
   };
   EXPECT_TRUE(hold(50).empty());
-  const std::vector<PaceOrder> slower = hold(95);
+  const std::vector<ThrottleOrder> slower = hold(95);
   ASSERT_EQ(slower.size(), 1U);
   EXPECT_EQ(slower[0].task.job, JobId{2});
   EXPECT_EQ(slower[0].percent, 50);
-  const std::vector<PaceOrder> faster = hold(40);
+  const std::vector<ThrottleOrder> faster = hold(40);
   ASSERT_EQ(faster.size(), 1U);
   EXPECT_EQ(faster[0].percent, 60);
 }
--- a/tests/jobs/scheduler_world.h
+++ b/tests/jobs/scheduler_world.h
@@ -75,7 +75,7 @@
   void Hold(const std::string& id, std::vector<ActiveRun> active, std::vector<EndedRun> ended,
             std::int64_t born_ms = 1) {
     const HoldPlan plan = this->scheduler.PlanHold(id, this->now);
-    HoldReport report;
+    RenewalReport report;
     report.born_ms = born_ms;
     report.clock_ms =
         std::chrono::duration_cast<std::chrono::milliseconds>(this->now.time_since_epoch()).count();
@@ -150,7 +150,7 @@
   std::map<JobId, std::string> stored;
   /// Lapse notices by endpoint.
   std::map<std::string, std::string> lapses;
-  HoldOrder last_hold;
+  RenewalOrder last_hold;
 };
 
 }  // namespace chervilspar::jobs
--- a/tests/jobs/order_budget_test.cc
+++ b/tests/jobs/vm_order_rate_limiter_test.cc
@@ -1,4 +1,4 @@
-#include "chervilspar/jobs/order_budget.h"
+#include "chervilspar/jobs/vm_order_rate_limiter.h"
 
 #include <gtest/gtest.h>
 
@@ -21,12 +21,12 @@
 /// A peak wants a hundred VMs at once, more than the platform takes orders for in a second. What
 /// leaves beyond the rate is refused and paid for, again and again.
 TEST_P(Budgets, LetAsManyLeaveAsThePlatformTakes) {
-  OrderBudget budget(GetParam().rate);
+  VmOrderRateLimiter budget(GetParam().rate);
   TimePoint now = TimePoint{} + std::chrono::hours(1);
   int sent = 0;
   for (int round = 0; round < 50; ++round) {
     for (int i = 0; i < GetParam().wanted_each_round; ++i) {
-      sent += budget.Take(now) ? 1 : 0;
+      sent += budget.TryAcquire(now) ? 1 : 0;
     }
     if (round == 0) {
       EXPECT_EQ(sent, GetParam().at_once);
@@ -44,13 +44,13 @@
 
 /// Another entry's orders, or a person's, use the same rate. Without a pause after a refusal, the
 /// next round is refused as well.
-TEST(OrderBudget, PausesAfterARefusal) {
-  OrderBudget budget(64);
+TEST(VmOrderRateLimiter, PausesAfterARefusal) {
+  VmOrderRateLimiter budget(64);
   const TimePoint now = TimePoint{} + std::chrono::hours(1);
-  EXPECT_TRUE(budget.Take(now));
+  EXPECT_TRUE(budget.TryAcquire(now));
   budget.OnRefused(now);
-  EXPECT_FALSE(budget.Take(now));
-  EXPECT_TRUE(budget.Take(now + milliseconds(100)));
+  EXPECT_FALSE(budget.TryAcquire(now));
+  EXPECT_TRUE(budget.TryAcquire(now + milliseconds(100)));
 }
 
 }  // namespace
--- a/tests/jobs/waiting_jobs_test.cc
+++ b/tests/jobs/waiting_jobs_test.cc
@@ -78,7 +78,7 @@
     ::testing::Values(WaitingCase{"under_way", [](World&, const StartOrder&) {}},
                       WaitingCase{"no_room",
                                   [](World& world, const StartOrder& start) {
-                                    Answer(world, start, OrderOutcome::kNoRoom);
+                                    Answer(world, start, OrderOutcome::kNoCapacity);
                                   }},
                       WaitingCase{"refused",
                                   [](World& world, const StartOrder& start) {
@@ -94,7 +94,7 @@
                                   }},
                       WaitingCase{"another_endpoint_answers",
                                   [](World& world, const StartOrder& start) {
-                                    Answer(world, start, OrderOutcome::kOtherLife);
+                                    Answer(world, start, OrderOutcome::kOtherIncarnation);
                                   }},
                       WaitingCase{"no_answer_yet",
                                   [](World& world, const StartOrder& start) {
--- a/tests/rpc/carrier_message_test.cc
+++ b/tests/rpc/carrier_message_test.cc
@@ -33,7 +33,7 @@
 }
 
 CarriedAnswers MakeAnswers() {
-  jobs::HoldReport report;
+  jobs::RenewalReport report;
   report.clock_ms = 1000;
   report.born_ms = 1790000000000;
   report.active = {{{jobs::JobId{5}, 0, 0, 1}, 2, "saved", 41, 77}};
--- a/tests/soak/worker_server.cc
+++ b/tests/soak/worker_server.cc
@@ -90,7 +90,7 @@
     co_return Answer(400, {});
   }
   const adapter::Fields fields(*body);
-  jobs::HoldOrder order;
+  jobs::RenewalOrder order;
   order.endpoint = this->id;
   order.token = static_cast<std::uint64_t>(fields.Number("fence"));
   order.confirmed_end = static_cast<std::uint64_t>(fields.Number("ack_cursor"));
