--- a/include/chervilspar/jobs/carrier_choice.h
+++ b/include/chervilspar/jobs/carrier_choice.h
@@ -12,51 +12,54 @@
 
 namespace chervilspar::jobs {
 
-/// An entry that carries orders to endpoints for the owner.
+/// An entry that forwards the owner's orders to endpoints.
 struct Carrier {
-  /// Where it takes them ("ip:port").
+  /// Where it accepts the orders ("ip:port").
   std::string address;
   ZoneId zone;
 
   friend auto operator<=>(const Carrier&, const Carrier&) = default;
 };
 
-/// Times and limits of the choice.
+/// Limits and timeouts of `CarrierChoice`.
 struct CarrierOptions {
-  /// Up to this many registered endpoints for each of its cores the owner gives all orders itself:
-  /// a way through another entry costs some 10 ms for each order.
+  /// Up to this many registered endpoints per core, the owner sends all orders directly, because
+  /// forwarding through another entry adds about 10 ms to each order.
   double endpoints_per_core = 200;
-  /// So many orders in a row without answer, and a carrier is passed over.
+  /// After this many unanswered orders in a row, a carrier is skipped for `avoided`.
   int misses = 2;
   Duration avoided = std::chrono::seconds(2);
 
   friend bool operator==(const CarrierOptions&, const CarrierOptions&) = default;
 };
 
-/// Decides which entry carries the orders to an endpoint. Pure.
+/// Selects the entry that forwards the orders to an endpoint. Has no I/O and no clock.
 ///
-/// The load that it answers: thousands of starts and renewals a second at hundreds of endpoints.
-/// Given by the owner alone, they use up its processor and its link, renewals come late behind
-/// starts, and leases of tasks that serve users lapse.
+/// Hundreds of endpoints need thousands of starts and renewals a second. Sent by the owner alone,
+/// these exhaust its processor and its link, renewals queue behind starts, and leases of tasks that
+/// serve users lapse.
 ///
-/// An endpoint's orders go through one entry of its own zone, so that a cut leaves or takes both
-/// together, and what goes between the zones is packed. Without such an entry the owner gives them
-/// itself.
+/// An endpoint's orders go through one entry of its own zone, so that a network partition separates
+/// neither from the other, and the traffic between the zones is batched. If the zone has no usable
+/// entry, the owner sends the orders itself.
 class CarrierChoice {
  public:
-  /// `cores`: the part of the processor that the owner's VM gives.
+  /// `cores`: the processor cores available to the owner on its VM; may be a fraction.
   CarrierChoice(CarrierOptions options, double cores) : options(options), cores(cores) {}
 
   void SetCarriers(const std::vector<Carrier>& carriers);
   void SetEndpoints(const std::vector<EndpointRecord>& endpoints);
-  /// The address of the entry that carries orders to `endpoint` now; nothing: the owner itself.
+  /// Returns the address of the entry that forwards orders to `endpoint` at `now`, or nothing if
+  /// the owner sends them itself.
   std::optional<std::string> Choose(const std::string& endpoint, TimePoint now) const;
+  /// The carrier's orders were answered: clears its count of unanswered ones.
   void OnAnswered(const std::string& address);
+  /// An order through the carrier got no answer in time.
   void OnUnanswered(const std::string& address, TimePoint now);
-  /// It brought an endpoint's answer after that had been given up on. Where most carriers are
-  /// passed over at once, what was slow is this entry's own link, which they are to relieve.
+  /// The carrier returned an endpoint's answer after its timeout. If most carriers are skipped at
+  /// that moment, the owner's own link is the slow part, and the carrier is used again.
   void OnAnsweredLate(const std::string& address, TimePoint now);
-  /// Whether an entry still carries.
+  /// Whether the entry at `address` is still a carrier.
   bool IsCarrier(const std::string& address) const { return this->health.contains(address); }
 
  private:
--- a/include/chervilspar/jobs/endpoint.h
+++ b/include/chervilspar/jobs/endpoint.h
@@ -12,16 +12,16 @@
 
 namespace chervilspar::jobs {
 
-/// An endpoint as it registers itself.
+/// An endpoint's registration.
 struct EndpointRecord {
   std::string id;
   ServiceId service;
   SocketAddress address;
   ZoneId zone;
-  /// Unix millisecond of its start; tells two lives under one id apart.
+  /// Time of the process start in Unix milliseconds; distinguishes incarnations with the same id.
   std::int64_t born_ms = 0;
   Resources capacity;
-  /// Its kind and its rack.
+  /// Labels of the endpoint, such as its kind and its rack.
   std::vector<std::string> labels;
   std::string rack;
   bool is_draining = false;
@@ -31,15 +31,15 @@
   friend bool operator==(const EndpointRecord&, const EndpointRecord&) = default;
 };
 
-/// A run that an endpoint says is under way.
+/// A run that an endpoint reports as active.
 struct ActiveRun {
   TaskKey task;
   std::uint64_t run = 0;
   std::string checkpoint;
-  /// How far it is; for a long-running task 100 once it is at work.
+  /// Progress in percent; a long-running task reports 100 once it is ready.
   int percent = 0;
-  /// Over the last half second, roughly. A long-running task with a target: the tail of its
-  /// response times in milliseconds. Any other: thousandths of a core in use.
+  /// Over about the last half second. For a long-running task with a target: the tail
+  /// latency in milliseconds. For any other task: processor use in thousandths of a core.
   std::int64_t gauge = 0;
 
   friend bool operator==(const ActiveRun&, const ActiveRun&) = default;
@@ -48,21 +48,21 @@
 /// How a run ended.
 enum class RunEnd {
   kDone,
-  /// Through its own fault or the endpoint's.
+  /// The run or its endpoint failed.
   kFailed,
   kStopped,
   kLeaseLapsed,
   /// Another member of its gang ended.
   kGangBroken,
-  /// The other members of its gang did not come in time.
+  /// The other members of its gang did not start in time.
   kGangIncomplete,
 };
 
 const char* ToString(RunEnd end);
 
-/// An end that an endpoint lists until it is confirmed.
+/// The end of a run, which an endpoint lists until the owner confirms it.
 struct EndedRun {
-  /// Numbers the ends of one life of the endpoint, from 1.
+  /// Sequence number within one incarnation of the endpoint, starting at 1.
   std::uint64_t number = 0;
   TaskKey task;
   std::uint64_t run = 0;
@@ -72,9 +72,11 @@
   friend bool operator==(const EndedRun&, const EndedRun&) = default;
 };
 
-/// What an endpoint answers when its leases are renewed.
+/// An endpoint's answer to a `RenewalOrder`.
 struct RenewalReport {
+  /// The endpoint's own clock in milliseconds, from an arbitrary origin.
   std::int64_t clock_ms = 0;
+  /// As in `EndpointRecord`; 0 if unknown.
   std::int64_t born_ms = 0;
   std::vector<ActiveRun> active;
   std::vector<EndedRun> ended;
@@ -82,16 +84,18 @@
   friend bool operator==(const RenewalReport&, const RenewalReport&) = default;
 };
 
-/// Renews the leases of all that runs on an endpoint and asks what runs there.
+/// Renews the leases of all runs on an endpoint and requests its status.
 struct RenewalOrder {
   std::string endpoint;
   SocketAddress address;
+  /// The owner's fencing token.
   std::uint64_t token = 0;
-  /// Ends up to this number are stored and may be forgotten.
+  /// Ends up to this number are stored, and the endpoint may drop them.
   std::uint64_t confirmed_end = 0;
-  /// On the endpoint's clock; absent: only look.
+  /// The new end of the leases on the endpoint's clock; absent: a status request that renews
+  /// nothing.
   std::optional<std::int64_t> lease_end_ms;
-  /// How long the endpoint may wait for an end before it answers.
+  /// How long the endpoint may delay its answer until a run ends.
   Duration wait{};
 
   friend bool operator==(const RenewalOrder&, const RenewalOrder&) = default;
@@ -107,8 +111,8 @@
   std::string checkpoint;
   std::string ticket;
   std::uint64_t token = 0;
-  /// On the endpoint's clock: the run's first lease, and the latest time at which the order may
-  /// be carried out.
+  /// On the endpoint's clock: the end of the run's first lease, and the latest time at which the
+  /// endpoint may execute the order.
   std::int64_t lease_end_ms = 0;
 
   friend bool operator==(const StartOrder&, const StartOrder&) = default;
@@ -125,7 +129,7 @@
   friend bool operator==(const StopOrder&, const StopOrder&) = default;
 };
 
-/// Lets a run work at a part of its speed.
+/// Limits a run to a percentage of its full speed; 0 halts it.
 struct ThrottleOrder {
   std::string endpoint;
   SocketAddress address;
@@ -137,26 +141,26 @@
   friend bool operator==(const ThrottleOrder&, const ThrottleOrder&) = default;
 };
 
-/// What came of an order.
+/// The outcome of an order.
 enum class OrderOutcome {
   kDone,
-  /// Refused: a higher token has been seen there.
+  /// Refused: the endpoint has seen a higher token.
   kTokenTooLow,
-  /// Refused: the run is not newer than one that ended there.
+  /// Refused: the run is not newer than one that has ended on the endpoint.
   kRunTooOld,
-  /// Refused: the order came after its time.
+  /// Refused: the order arrived after its deadline.
   kTooLate,
-  /// Refused: no room.
+  /// Refused: not enough free capacity.
   kNoCapacity,
   /// Refused: the ticket isn't valid.
   kBadTicket,
-  /// Refused for another reason; nothing was done.
+  /// Refused for another reason, without any effect.
   kRefused,
-  /// Another life of the endpoint, or another endpoint, answers at the address.
+  /// Another incarnation of the endpoint, or another endpoint, answers at the address.
   kOtherIncarnation,
-  /// No whole answer; it may be carried out, also seconds later.
+  /// No complete answer arrived; the order may still be executed, even seconds later.
   kNoAnswer,
-  /// Not sent.
+  /// The order was not sent.
   kNotSent,
 };
 
--- a/include/chervilspar/jobs/interim_leases.h
+++ b/include/chervilspar/jobs/interim_leases.h
@@ -12,49 +12,52 @@
 
 namespace chervilspar::jobs {
 
-/// Keeps alive what runs at the endpoints while a successor still reads the jobs, of which it needs
-/// no word for that. Pure.
+/// Renews the leases of active runs while a new owner still reads the jobs, which it doesn't need
+/// for that. Has no I/O and no clock.
 ///
-/// The load that it answers: a link on which reading the jobs takes as long as a lease. All that
-/// its predecessor had started lapses meanwhile and starts anew at once.
+/// On a slow link, reading the jobs takes as long as a lease. Without renewals, all runs that the
+/// predecessor started would lapse in the meantime and be restarted at the same time.
 ///
-/// Only leases are renewed, and no end is confirmed: what the endpoints tell is taken in by the
-/// scheduler, which asks again. Its reckoning of leases has to hold `LeaseEnds`.
+/// Only leases are renewed, and no end is confirmed: the scheduler requests the status again and
+/// processes it. The scheduler has to take over `LeaseEnds` as lower bounds of its lease ends.
 class InterimLeases {
  public:
   InterimLeases(const SchedulerOptions& options, std::uint64_t token)
       : options(options), token(token) {}
 
   void SetEndpoints(const std::vector<EndpointRecord>& endpoints);
-  /// Until this time there was certainly no successor; renewals as with `Scheduler::SetProof`.
+  /// No successor existed before `proof`. Limits renewals as `Scheduler::SetProof` does.
   void SetProof(TimePoint proof);
-  /// What is to be sent now: a look at each endpoint, then renewals where something runs.
+  /// Returns the orders due at `now`: first a status request to each endpoint, then renewals for
+  /// endpoints with active runs.
   std::vector<RenewalOrder> Plan(TimePoint now);
-  /// `report`: nothing if there was no answer.
+  /// `report`: the endpoint's answer, or nothing if there was none.
   void OnAnswered(const std::string& endpoint, const std::optional<RenewalReport>& report,
                   TimePoint now);
-  /// Whether no look is under way any more.
+  /// Whether no first status request is pending.
   bool IsPollDone() const;
+  /// The number of endpoints whose leases have been renewed.
   std::size_t RenewedCount() const { return this->lease_ends.size(); }
-  /// By our clock, when the leases have certainly lapsed that were given here.
+  /// For each renewed endpoint, the time on this process's clock by which its leases have certainly
+  /// lapsed.
   const std::map<std::string, TimePoint>& LeaseEnds() const { return this->lease_ends; }
 
  private:
-  struct Held {
+  struct EndpointLease {
     SocketAddress address;
     std::optional<std::int64_t> clock_ms;
     TimePoint clock_at{};
     bool has_runs = true;
-    bool is_asked = false;
-    TimePoint due{};
+    bool is_request_pending = false;
+    TimePoint next_request{};
   };
 
-  RenewalOrder OrderFor(const std::string& id, Held& held, TimePoint now);
+  RenewalOrder OrderFor(const std::string& id, EndpointLease& lease, TimePoint now);
 
   const SchedulerOptions options;
   const std::uint64_t token;
   TimePoint proof{};
-  std::map<std::string, Held> endpoints;
+  std::map<std::string, EndpointLease> endpoints;
   std::map<std::string, TimePoint> lease_ends;
 };
 
--- a/include/chervilspar/jobs/lapse_notice.h
+++ b/include/chervilspar/jobs/lapse_notice.h
@@ -9,23 +9,26 @@
 
 namespace chervilspar::jobs {
 
-/// An owner's word that it lets the leases on an endpoint lapse. Until the notice is dropped from
-/// the store, the owner neither renews nor starts anything there.
+/// An owner's stored promise to let the leases on an endpoint lapse. Until the notice is deleted
+/// from the store, the owner neither renews leases nor starts runs on the endpoint.
 ///
 /// Without it, a successor that can't reach the endpoint has to assume that its predecessor renewed
-/// to the last, and each change of owner puts off the time at which what ran there is given up.
+/// the leases until the end of its term, and each change of owner would delay the time at which the
+/// runs on the endpoint are abandoned.
 struct LapseNotice {
   std::string endpoint;
-  /// The fencing token of the owner that gives its word.
+  /// The fencing token of the owner that made the notice.
   std::uint64_t token = 0;
-  /// The leases have lapsed so long after the notice was made, by the clock of its owner.
+  /// How long after the notice was made the leases have lapsed, by its owner's clock. Stored in
+  /// milliseconds, rounded up.
   Duration remaining{};
 
   friend bool operator==(const LapseNotice&, const LapseNotice&) = default;
 };
 
 std::string EncodeLapseNotice(const LapseNotice& notice);
-/// The reason names the first field that can't be read.
+/// On failure, the reason names the first field that is missing or invalid; it names none if `text`
+/// isn't a JSON object.
 Result<LapseNotice> DecodeLapseNotice(std::string_view text);
 
 }  // namespace chervilspar::jobs
--- a/include/chervilspar/jobs/vm_order_rate_limiter.h
+++ b/include/chervilspar/jobs/vm_order_rate_limiter.h
@@ -4,26 +4,27 @@
 
 namespace chervilspar::jobs {
 
-/// How many orders for VMs may leave now, by the rate that the platform takes.
+/// A token bucket that limits VM orders to the rate that the platform accepts.
 ///
-/// The load that it answers: a peak for which a hundred VMs are to move at once. All ordered in one
-/// go, most are refused, ordered anew 150 ms later and refused again; each call is paid for, and
-/// reboots of a wave wait behind them.
+/// During a peak, a hundred VMs may have to move at once. Without a limit, most orders would be
+/// refused, repeated 150 ms later and refused again; each call costs money, and the reboots of a
+/// wave would wait behind them.
 class VmOrderRateLimiter {
  public:
-  /// `rate`: orders a second.
+  /// `rate`: orders per second.
   explicit VmOrderRateLimiter(double rate);
 
-  /// Takes one order from the budget; false when there is none left at this time.
+  /// Takes permission for one order; false if the rate allows none at `now`.
   bool TryAcquire(TimePoint now);
-  /// The platform refused an order as one too many: others use the rate as well.
+  /// The platform refused an order for its rate, as other clients share it: empties the bucket.
   void OnRefused(TimePoint now);
 
  private:
   void Refill(TimePoint now);
 
   const double rate;
-  double left;
+  /// Orders that may be sent at `refilled`.
+  double available;
   TimePoint refilled{};
 };
 
--- a/src/jobs/carrier_choice.cc
+++ b/src/jobs/carrier_choice.cc
@@ -29,9 +29,9 @@
 }
 
 std::optional<std::string> CarrierChoice::Choose(const std::string& endpoint, TimePoint now) const {
-  const auto alone = this->options.endpoints_per_core * this->cores;
+  const auto direct_limit = this->options.endpoints_per_core * this->cores;
   const auto zone = this->zone_of_endpoint.find(endpoint);
-  if (static_cast<double>(this->zone_of_endpoint.size()) <= alone ||
+  if (static_cast<double>(this->zone_of_endpoint.size()) <= direct_limit ||
       zone == this->zone_of_endpoint.end()) {
     return std::nullopt;
   }
@@ -70,10 +70,10 @@
   }
 }
 
-/// What can go wrong: a new owner's link is full of what it reads, the first orders of all
-/// endpoints are answered too late, and all carriers are passed over. Then it gives hundreds of
-/// orders itself over that link, starts get no answer in time either, and the stops that settle
-/// them end tasks that serve users.
+/// While a new owner's link is saturated by reading the store, the first orders to all endpoints
+/// time out and all carriers are skipped. If the owner then sent hundreds of orders directly over
+/// that link, starts would time out as well, and the stops that follow would end tasks that serve
+/// users.
 void CarrierChoice::OnAnsweredLate(const std::string& address, TimePoint now) {
   if (this->AreMostAvoided(now)) {
     this->OnAnswered(address);
--- a/src/jobs/evacuation.cc
+++ b/src/jobs/evacuation.cc
@@ -4,30 +4,30 @@
 
 namespace {
 
-/// A sibling counts as at work only on fresh news from an endpoint that stays: one that has just
-/// fallen silent still looks busy here.
-constexpr Duration kFresh = std::chrono::milliseconds(1500);
+/// A sibling counts as ready only by a response of at most this age from an endpoint that isn't
+/// draining: an endpoint that has just become unresponsive still has active runs in this state.
+constexpr Duration kMaxResponseAge = std::chrono::milliseconds(1500);
 
-/// A predecessor's stop may be under way: its task still looks at work for as long as a stop takes,
-/// and a second one of the same step would be ended beside it.
-constexpr Duration kSettle = std::chrono::milliseconds(2000);
+/// A predecessor's stop may be in flight. Until it takes effect, its task is reported as ready, and
+/// a second task of the same step could be stopped at the same time.
+constexpr Duration kPredecessorStopDelay = std::chrono::milliseconds(2000);
 
-/// A stop takes up to 400 ms, and its end is heard and stored some 100 ms later.
-constexpr Duration kRoomKept = std::chrono::milliseconds(3000);
+/// A stop takes up to 400 ms, and its end is reported and stored about 100 ms later.
+constexpr Duration kReservationDuration = std::chrono::milliseconds(3000);
 
-bool IsAtWork(const Task& task, TimePoint now) {
+bool IsReady(const Task& task, TimePoint now) {
   if (task.state != RunState::kActive || task.percent < kReadyPercent) {
     return false;
   }
   const EndpointState& endpoint = *task.endpoint;
   return endpoint.is_registered && !endpoint.is_silent && !endpoint.record.is_draining &&
-         now - endpoint.last_response < kFresh;
+         now - endpoint.last_response < kMaxResponseAge;
 }
 
 }  // namespace
 
 void Evacuation::Run() {
-  if (this->now - this->state.term_start < kSettle) {
+  if (this->now - this->state.term_start < kPredecessorStopDelay) {
     return;
   }
   for (const auto& [id, endpoint] : this->state.endpoints) {
@@ -39,21 +39,21 @@
       this->Review(this->state.Find(key));
     }
   }
-  this->LookAhead();
+  this->FindTargets();
 }
 
-void Evacuation::LookAhead() {
+void Evacuation::FindTargets() {
   std::set<EndpointState*> taken;
-  for (const auto& [key, kept] : this->state.reservations) {
-    taken.insert(this->state.FindEndpoint(kept.endpoint));
+  for (const auto& [key, reservation] : this->state.reservations) {
+    taken.insert(this->state.FindEndpoint(reservation.endpoint));
   }
   for (const TaskRef& ref : this->waiting) {
     std::set<EndpointState*> excluded = taken;
     excluded.insert(ref.task->endpoint);
-    EndpointState* const place = this->placement.Choose(ref, excluded, this->now);
-    ref.task->lacks_target = place == nullptr;
-    if (place != nullptr) {
-      taken.insert(place);
+    EndpointState* const target = this->placement.Choose(ref, excluded, this->now);
+    ref.task->lacks_target = target == nullptr;
+    if (target != nullptr) {
+      taken.insert(target);
     }
   }
 }
@@ -63,37 +63,37 @@
   if (!is_movable) {
     return;
   }
-  if (!this->MayEnd(ref)) {
+  if (!this->MayStop(ref)) {
     this->waiting.push_back(ref);
     return;
   }
-  EndpointState* const place = this->placement.Choose(ref, {ref.task->endpoint}, this->now);
-  ref.task->lacks_target = place == nullptr;
-  if (place == nullptr) {
+  EndpointState* const target = this->placement.Choose(ref, {ref.task->endpoint}, this->now);
+  ref.task->lacks_target = target == nullptr;
+  if (target == nullptr) {
     return;
   }
-  this->state.ReportEvent({"run_moved",
-                           ref.key,
-                           {},
-                           ref.task->endpoint->record.id,
-                           "its endpoint is being emptied; room is kept at " + place->record.id});
-  this->state.ReserveCapacity(ref, *place, this->now + kRoomKept);
+  this->state.ReportEvent(
+      {"run_moved",
+       ref.key,
+       {},
+       ref.task->endpoint->record.id,
+       "its endpoint is being evacuated; capacity is reserved on " + target->record.id});
+  this->state.ReserveCapacity(ref, *target, this->now + kReservationDuration);
   this->state.BeginStop(ref, this->now);
 }
 
-bool Evacuation::MayEnd(const TaskRef& ref) const {
-  const bool leaves_anyway = ref.task->endpoint->record.is_draining;
-  // Without fresh news the task itself is taken to be at work, and its siblings are not.
-  if (leaves_anyway || !ref.spec->max_unavailable) {
+bool Evacuation::MayStop(const TaskRef& ref) const {
+  const bool is_draining = ref.task->endpoint->record.is_draining;
+  if (is_draining || !ref.spec->max_unavailable) {
     return true;
   }
-  // A task that was still starting by the last news may be at work by now; its siblings count as
-  // away unless there is fresh news that they work.
-  std::uint32_t away = 0;
+  // The task itself counts as ready, as it may have become ready since the last response. Its
+  // siblings count as unavailable unless a recent response reports them as ready.
+  std::uint32_t unavailable = 0;
   for (const Task& sibling : ref.step->tasks) {
-    away += &sibling == ref.task || IsAtWork(sibling, this->now) ? 0 : 1;
+    unavailable += &sibling == ref.task || IsReady(sibling, this->now) ? 0 : 1;
   }
-  return away < *ref.spec->max_unavailable;
+  return unavailable < *ref.spec->max_unavailable;
 }
 
 }  // namespace chervilspar::jobs
--- a/src/jobs/evacuation.h
+++ b/src/jobs/evacuation.h
@@ -7,18 +7,18 @@
 
 namespace chervilspar::jobs {
 
-/// Empties endpoints whose VMs are to be rebooted or moved: batch work runs to its end,
+/// Evacuates endpoints whose VMs are to be rebooted or moved: batch tasks run to completion, and
 /// long-running tasks are moved one after the other.
 ///
-/// What can go wrong: a step loses more tasks at once than its team allows, and those that use it
-/// meet an outage although every VM was handled with care. So a task at work is ended only while
-/// enough of its siblings are at work, and when another endpoint has room for it, which is kept:
-/// ended first, it would wait for seconds for what others take meanwhile.
+/// If a step lost more tasks at once than its team allows, its users would see an outage even
+/// though each VM is drained correctly. Therefore a ready task is stopped only while enough of its
+/// siblings are ready and another endpoint has free capacity for it. That capacity is reserved;
+/// otherwise other tasks could claim it, and the stopped task would wait for seconds.
 ///
-/// The load that it answers: a wave empties a quarter of a pool whose tasks must stand apart and
-/// move one at a time. If the place for each were looked for when its turn comes, the pool would
-/// get its VM only then, and the wave would take seconds longer for each task. So places are looked
-/// for all at once.
+/// A maintenance wave may evacuate a quarter of a pool whose tasks are spread over endpoints and
+/// move one at a time. If the target of each task were searched only when its turn comes, the pool
+/// would get a missing VM only then, and each task would delay the wave by seconds. Therefore the
+/// targets of all tasks are searched at the same time.
 class Evacuation {
  public:
   Evacuation(SchedulerState& state, TimePoint now) : state(state), placement(state), now(now) {}
@@ -27,14 +27,14 @@
 
  private:
   void Review(const TaskRef& ref);
-  /// Notes for which of the waiting tasks there is no place.
-  void LookAhead();
-  bool MayEnd(const TaskRef& ref) const;
+  /// Sets `lacks_target` of the waiting tasks.
+  void FindTargets();
+  bool MayStop(const TaskRef& ref) const;
 
   SchedulerState& state;
   const Placement placement;
   const TimePoint now;
-  /// Tasks that are to move and may not yet.
+  /// Tasks that have to move but may not be stopped yet.
   std::vector<TaskRef> waiting;
 };
 
--- a/src/jobs/filler_throttle.cc
+++ b/src/jobs/filler_throttle.cc
@@ -6,15 +6,16 @@
 
 namespace {
 
-/// Response time over target above which fillers are slowed down, and below which they get some
-/// speed back. The gap keeps the pace from swinging with the noise of a half-second figure.
-constexpr double kTooNear = 0.85;
-constexpr double kFarEnough = 0.65;
-constexpr double kCut = 0.5;
-constexpr int kStepUp = 10;
-/// Below this a filler does next to nothing and still disturbs: it is halted.
-constexpr int kLeastPace = 10;
-constexpr int kFullPace = 100;
+/// Ratio of response time to target above which fillers are slowed down, and below which they are
+/// sped up. The gap avoids oscillation from the variance of response times over half a second.
+constexpr double kThrottleAbove = 0.85;
+constexpr double kRecoverBelow = 0.65;
+constexpr double kDecreaseFactor = 0.5;
+constexpr int kIncreaseStepPercent = 10;
+/// Below this speed a filler makes little progress but still slows down its neighbours, so it is
+/// halted.
+constexpr int kMinSpeedPercent = 10;
+constexpr int kFullSpeedPercent = 100;
 
 }  // namespace
 
@@ -33,40 +34,42 @@
 
 void FillerThrottle::Review(EndpointState& endpoint) {
   const double load = this->WorstLoad(endpoint);
-  if (load > kTooNear) {
-    endpoint.pace = static_cast<int>(endpoint.pace * kCut);
-    endpoint.pace = endpoint.pace < kLeastPace ? 0 : endpoint.pace;
-  } else if (load < kFarEnough) {
-    endpoint.pace = std::min(endpoint.pace + kStepUp, kFullPace);
+  if (load > kThrottleAbove) {
+    endpoint.speed_percent = static_cast<int>(endpoint.speed_percent * kDecreaseFactor);
+    endpoint.speed_percent = endpoint.speed_percent < kMinSpeedPercent ? 0 : endpoint.speed_percent;
+  } else if (load < kRecoverBelow) {
+    endpoint.speed_percent =
+        std::min(endpoint.speed_percent + kIncreaseStepPercent, kFullSpeedPercent);
   }
-  this->Order(endpoint, load >= kFarEnough && load <= kTooNear);
+  this->Order(endpoint, load >= kRecoverBelow && load <= kThrottleAbove);
 }
 
-void FillerThrottle::Order(EndpointState& endpoint, bool is_load_right) {
+void FillerThrottle::Order(EndpointState& endpoint, bool is_steady) {
   for (const TaskKey& key : endpoint.claims) {
     const TaskRef ref = this->state.Find(key);
     Task& task = *ref.task;
-    // Where the load is right, so is a pace that isn't known.
-    const bool is_paced = task.pace ? *task.pace == endpoint.pace : is_load_right;
-    if (!ref.spec->is_filler || task.state != RunState::kActive || is_paced) {
+    // In the steady state, an unknown speed needs no change.
+    const bool is_speed_set =
+        task.speed_percent ? *task.speed_percent == endpoint.speed_percent : is_steady;
+    if (!ref.spec->is_filler || task.state != RunState::kActive || is_speed_set) {
       continue;
     }
-    task.pace = endpoint.pace;
+    task.speed_percent = endpoint.speed_percent;
     this->state.paces.push_back({endpoint.record.id, endpoint.record.address, key,
-                                 task.progress.run, endpoint.pace, this->state.token});
+                                 task.progress.run, endpoint.speed_percent, this->state.token});
   }
 }
 
-/// What can go wrong: the order that halts a filler is lost, no other follows as none is slower,
-/// and the filler disturbs its neighbour for as long as both run.
+/// If the order that halts a filler were lost and taken as executed, no other would follow, as no
+/// speed is lower, and the filler would slow down its neighbour for as long as both run.
 void FillerThrottle::OnAnswered(const ThrottleOrder& order, OrderOutcome outcome) {
   this->state.is_superseded = this->state.is_superseded || outcome == OrderOutcome::kTokenTooLow;
   const TaskRef ref = this->state.Find(order.task);
-  const bool is_newest = ref && ref.task->endpoint != nullptr &&
-                         ref.task->endpoint->record.id == order.endpoint &&
-                         ref.task->progress.run == order.run && ref.task->pace == order.percent;
+  const bool is_newest =
+      ref && ref.task->endpoint != nullptr && ref.task->endpoint->record.id == order.endpoint &&
+      ref.task->progress.run == order.run && ref.task->speed_percent == order.percent;
   if (is_newest && outcome != OrderOutcome::kDone) {
-    ref.task->pace.reset();
+    ref.task->speed_percent.reset();
   }
 }
 
--- a/src/jobs/filler_throttle.h
+++ b/src/jobs/filler_throttle.h
@@ -4,26 +4,27 @@
 
 namespace chervilspar::jobs {
 
-/// Keeps fillers from disturbing the tasks that serve users on the same endpoint.
+/// Throttles fillers that slow down the tasks that serve users on the same endpoint.
 ///
-/// What can go wrong: fillers take the caches and memory bandwidth that a serving task needs, its
-/// response times go over their target and stay there, and the team's users wait. The figures that
-/// endpoints give are rough and half a second old, so the pace is cut by a factor when a figure
-/// comes near its target and given back in small steps.
+/// Fillers compete for the caches and the memory bandwidth that a serving task needs, so that its
+/// response times would exceed their target and stay there. The reported response times are rough
+/// and half a second old. Therefore the speed is decreased by a factor when a response time comes
+/// near its target, and increased in small steps.
 class FillerThrottle {
  public:
   explicit FillerThrottle(SchedulerState& state) : state(state) {}
 
-  /// Looks at the newest figures of an endpoint and orders another pace where needed.
+  /// Evaluates the last reported response times of an endpoint and orders another speed if needed.
   void Review(EndpointState& endpoint);
-  /// An order that may not have been carried out is given again with the next look that asks for
-  /// it.
+  /// Marks the speed as unknown if the order may not have been executed, so that a later review
+  /// repeats it.
   void OnAnswered(const ThrottleOrder& order, OrderOutcome outcome);
 
  private:
+  /// The highest ratio of response time to target among the serving tasks.
   double WorstLoad(const EndpointState& endpoint) const;
-  /// `is_load_right`: the serving tasks are neither too near their targets nor far below.
-  void Order(EndpointState& endpoint, bool is_load_right);
+  /// `is_steady`: the serving tasks are neither too near their targets nor far below.
+  void Order(EndpointState& endpoint, bool is_steady);
 
   SchedulerState& state;
 };
--- a/src/jobs/interim_leases.cc
+++ b/src/jobs/interim_leases.cc
@@ -6,9 +6,8 @@
 
 namespace {
 
-/// After a try without answer.
+/// Delay after an unanswered request.
 constexpr Duration kRetryPause = std::chrono::milliseconds(300);
-/// So many renewals in the time of one lease.
 constexpr int kRenewalsPerLease = 4;
 
 }  // namespace
@@ -23,27 +22,27 @@
 
 std::vector<RenewalOrder> InterimLeases::Plan(TimePoint now) {
   std::vector<RenewalOrder> orders;
-  for (auto& [id, held] : this->endpoints) {
-    if (held.has_runs && !held.is_asked && now >= held.due) {
-      orders.push_back(this->OrderFor(id, held, now));
+  for (auto& [id, lease] : this->endpoints) {
+    if (lease.has_runs && !lease.is_request_pending && now >= lease.next_request) {
+      orders.push_back(this->OrderFor(id, lease, now));
     }
   }
   return orders;
 }
 
-RenewalOrder InterimLeases::OrderFor(const std::string& id, Held& held, TimePoint now) {
-  held.is_asked = true;
+RenewalOrder InterimLeases::OrderFor(const std::string& id, EndpointLease& lease, TimePoint now) {
+  lease.is_request_pending = true;
   RenewalOrder order;
   order.endpoint = id;
-  order.address = held.address;
+  order.address = lease.address;
   order.token = this->token;
-  if (held.clock_ms && now - this->proof < this->options.predecessor_grace) {
-    // The least that its clock may show: a lease ends early rather than late.
+  if (lease.clock_ms && now - this->proof < this->options.predecessor_grace) {
+    // The lowest value that its clock may show, so that a lease ends early rather than late.
     const auto passed = std::chrono::duration_cast<Duration>(
-        (now - held.clock_at) * (1.0 - this->options.endpoint_clock_slowness));
+        (now - lease.clock_at) * (1.0 - this->options.endpoint_clock_slowness));
     const Duration ahead = passed + this->options.lease;
     order.lease_end_ms =
-        *held.clock_ms + std::chrono::duration_cast<std::chrono::milliseconds>(ahead).count();
+        *lease.clock_ms + std::chrono::duration_cast<std::chrono::milliseconds>(ahead).count();
     TimePoint& lease_end = this->lease_ends[id];
     lease_end = std::max(lease_end, now + this->options.LongestLease());
   }
@@ -56,24 +55,24 @@
   if (found == this->endpoints.end()) {
     return;
   }
-  Held& held = found->second;
-  held.is_asked = false;
+  EndpointLease& lease = found->second;
+  lease.is_request_pending = false;
   if (!report) {
-    // Another life may answer next, with another clock.
-    held.clock_ms.reset();
-    held.due = now + kRetryPause;
+    // The next answer may come from another incarnation with another clock.
+    lease.clock_ms.reset();
+    lease.next_request = now + kRetryPause;
     return;
   }
-  const bool is_renewed = held.clock_ms.has_value();
-  held.clock_ms = report->clock_ms;
-  held.clock_at = now;
-  held.has_runs = !report->active.empty();
-  held.due = is_renewed ? now + this->options.lease / kRenewalsPerLease : now;
+  const bool is_renewed = lease.clock_ms.has_value();
+  lease.clock_ms = report->clock_ms;
+  lease.clock_at = now;
+  lease.has_runs = !report->active.empty();
+  lease.next_request = is_renewed ? now + this->options.lease / kRenewalsPerLease : now;
 }
 
 bool InterimLeases::IsPollDone() const {
   return std::none_of(this->endpoints.begin(), this->endpoints.end(), [](const auto& entry) {
-    return entry.second.is_asked && !entry.second.clock_ms;
+    return entry.second.is_request_pending && !entry.second.clock_ms;
   });
 }
 
--- a/src/jobs/lapse_notice.cc
+++ b/src/jobs/lapse_notice.cc
@@ -30,13 +30,13 @@
   boost::system::error_code error;
   const json::value value = json::parse(text, error);
   if (error || !value.is_object()) {
-    return Reason{ErrorCode::kMalformed, "", "the record is not a lapse notice"};
+    return Reason{ErrorCode::kMalformed, "", "the record is not a JSON object with a lapse notice"};
   }
   try {
     const json::object& in = value.as_object();
     const json::value& endpoint = FieldAt(in, "endpoint");
     if (!endpoint.is_string()) {
-      throw FieldFault("endpoint", "is not a text");
+      throw FieldFault("endpoint", "is not a string");
     }
     LapseNotice notice;
     notice.endpoint = std::string(endpoint.as_string());
--- a/src/jobs/lapse_review.cc
+++ b/src/jobs/lapse_review.cc
@@ -6,25 +6,26 @@
 
 namespace {
 
-/// Between two notices about one endpoint. A successor waits at most this much longer than the last
-/// owner would have.
-constexpr Duration kNoticePace = std::chrono::milliseconds(1000);
+/// Interval between two notices about one endpoint. A successor waits at most this much longer than
+/// the previous owner would have.
+constexpr Duration kNoticeInterval = std::chrono::milliseconds(1000);
 
 }  // namespace
 
 bool LapseReview::IsLeftToLapse(const EndpointState& endpoint) const {
-  const bool is_unreached = endpoint.is_silent || !endpoint.clock_ms.has_value();
+  const bool is_unreachable = endpoint.is_silent || !endpoint.clock_ms.has_value();
   const TimePoint last_response = std::max(endpoint.last_response, this->state.term_start);
-  return is_unreached && !endpoint.claims.empty() &&
+  return is_unreachable && !endpoint.claims.empty() &&
          this->now - last_response >= this->state.options.silence && this->now < endpoint.lease_end;
 }
 
 void LapseReview::Run() {
   for (const auto& [id, endpoint] : this->state.endpoints) {
     const bool is_left = this->IsLeftToLapse(*endpoint);
-    if (is_left && (!endpoint->has_lapse_notice || this->now - endpoint->noticed >= kNoticePace)) {
+    if (is_left && (!endpoint->has_lapse_notice ||
+                    this->now - endpoint->last_lapse_notice >= kNoticeInterval)) {
       endpoint->has_lapse_notice = true;
-      endpoint->noticed = this->now;
+      endpoint->last_lapse_notice = this->now;
       this->state.lapse_changes[id] =
           EncodeLapseNotice({id, this->state.token, endpoint->lease_end - this->now});
     } else if (!is_left && endpoint->has_lapse_notice) {
@@ -37,7 +38,7 @@
   for (const LapseNotice& notice : notices) {
     this->state.lapse_changes[notice.endpoint] = std::nullopt;
     EndpointState* const endpoint = this->state.FindEndpoint(notice.endpoint);
-    // An owner in between may have renewed there without leaving a trace.
+    // An owner between the two may have renewed the leases without a record.
     const bool is_from_predecessor = notice.token + 1 == this->state.token;
     if (endpoint != nullptr && is_from_predecessor && !endpoint->claims.empty()) {
       endpoint->lease_end =
--- a/src/jobs/lapse_review.h
+++ b/src/jobs/lapse_review.h
@@ -4,13 +4,14 @@
 
 namespace chervilspar::jobs {
 
-/// Gives and takes back notices about silent endpoints; see `LapseNotice`.
+/// Makes and withdraws lapse notices about unresponsive endpoints; see `LapseNotice`.
 class LapseReview {
  public:
   LapseReview(SchedulerState& state, TimePoint now) : state(state), now(now) {}
 
   void Run();
-  /// What a predecessor's notices allow to assume, once its claims are adopted.
+  /// Shortens the leases on adopted claims to what the predecessor's notices allow. Call it after
+  /// the claims are adopted.
   void Restore(const std::vector<LapseNotice>& notices);
 
  private:
--- a/src/jobs/run_tracker.cc
+++ b/src/jobs/run_tracker.cc
@@ -6,17 +6,17 @@
 
 namespace {
 
-/// An endpoint lists this many ends at a time; a full list may leave some out.
-constexpr std::size_t kEndsListed = 500;
-/// The pause before a long-running task starts again grows to this many times the first.
+/// An endpoint lists at most this many ends at a time, so that a full list may be incomplete.
+constexpr std::size_t kMaxListedEnds = 500;
+/// The delay before a restart of a long-running task grows up to this multiple of the first delay.
 constexpr int kMaxRestartFactor = 10;
-/// No room although there was by our count: it is passed over for this long.
-constexpr Duration kFullPause = std::chrono::milliseconds(250);
+/// An endpoint that refuses a start for lack of capacity is skipped for this long.
+constexpr Duration kFullBackoff = std::chrono::milliseconds(250);
 
 }  // namespace
 
-bool RunTracker::IsMine(const TaskRef& ref, const EndpointState& endpoint,
-                        std::uint64_t run) const {
+bool RunTracker::IsCurrentRun(const TaskRef& ref, const EndpointState& endpoint,
+                              std::uint64_t run) const {
   return ref && ref.task->state != RunState::kNone && ref.task->endpoint == &endpoint &&
          ref.task->progress.run == run;
 }
@@ -24,11 +24,11 @@
 void RunTracker::OnHeld(EndpointState& endpoint, const RenewalReport& report, TimePoint sent,
                         TimePoint now) {
   if (report.born_ms != 0 && endpoint.born_ms != 0 && report.born_ms < endpoint.born_ms) {
-    return;  // a former life's answer that was overtaken
+    return;  // a delayed answer of a former incarnation
   }
   if (report.born_ms != 0 && report.born_ms != endpoint.born_ms) {
     if (endpoint.born_ms != 0) {
-      this->OnNewLife(endpoint, report, now);
+      this->OnRestart(endpoint, report, now);
     }
     endpoint.born_ms = report.born_ms;
   }
@@ -39,31 +39,31 @@
   endpoint.last_answered_request = std::max(endpoint.last_answered_request, sent);
   endpoint.is_silent = false;
   if (is_first) {
-    // From here on no predecessor's order is obeyed, so no lease is longer than one of ours.
+    // The endpoint now refuses a predecessor's orders, so no lease exceeds one of this owner.
     endpoint.lease_end = now + this->state.options.LongestLease();
   }
   for (const EndedRun& ended : report.ended) {
     if (ended.number > endpoint.seen_end) {
-      this->TakeEnd(endpoint, ended, now);
+      this->ProcessEnd(endpoint, ended, now);
       endpoint.seen_end = ended.number;
       this->state.has_new_ends = true;
     }
   }
   for (const ActiveRun& active : report.active) {
-    this->TakeActive(endpoint, active, now);
+    this->ProcessActive(endpoint, active, now);
   }
-  if (report.ended.size() < kEndsListed) {
-    this->DropMissing(endpoint, report, sent, now);
+  if (report.ended.size() < kMaxListedEnds) {
+    this->ReleaseUnlisted(endpoint, report, sent, now);
   }
 }
 
-void RunTracker::TakeEnd(EndpointState& endpoint, const EndedRun& ended, TimePoint now) {
+void RunTracker::ProcessEnd(EndpointState& endpoint, const EndedRun& ended, TimePoint now) {
   endpoint.orphaned_runs.erase({ended.task, ended.run});
   const TaskRef ref = this->state.Find(ended.task);
   if (!ref) {
-    return;  // the job has ended and its tasks are forgotten
+    return;  // the job has ended and its tasks were removed
   }
-  const bool is_mine = this->IsMine(ref, endpoint, ended.run);
+  const bool is_current = this->IsCurrentRun(ref, endpoint, ended.run);
   this->state.MarkStarted(ref, endpoint, now);
   this->state.ReportEvent(
       {"run_ended",
@@ -75,7 +75,7 @@
   if (!ended.checkpoint.empty() && ref.task->progress.phase != TaskPhase::kDone) {
     ref.task->progress.checkpoint = ended.checkpoint;
   }
-  if (is_mine) {
+  if (is_current) {
     this->state.Release(ref);
   }
   if (ended.end == RunEnd::kDone && !ref.spec->is_long_running) {
@@ -83,19 +83,19 @@
     endpoint.failed_jobs.clear();
     this->state.MarkDone(ref, now);
     if (ref.spec->is_gang) {
-      this->ReleaseGangAfterDone(ref, ended.run, now);
+      this->CompleteGang(ref, ended.run, now);
     }
     return;
   }
   if (ended.run <= ref.task->progress.ended_run) {
-    return;  // counted before
+    return;  // already counted
   }
   ref.task->progress.ended_run = ended.run;
   this->state.MarkDirty(*ref.job);
   if (ended.end == RunEnd::kFailed) {
-    this->TakeFailure(ref, endpoint, ended);
+    this->ProcessFailure(ref, endpoint, ended);
   }
-  if (is_mine) {
+  if (is_current) {
     this->state.StopGang(ref, now);
   }
   ref.task->not_before = now;
@@ -105,7 +105,8 @@
   }
 }
 
-void RunTracker::TakeFailure(const TaskRef& ref, EndpointState& endpoint, const EndedRun& ended) {
+void RunTracker::ProcessFailure(const TaskRef& ref, EndpointState& endpoint,
+                                const EndedRun& ended) {
   Task& task = *ref.task;
   task.avoided_endpoint = endpoint.record.id;
   ++endpoint.failures;
@@ -119,7 +120,7 @@
                              ended.task,
                              {},
                              endpoint.record.id,
-                             "runs of several jobs failed in a row"});
+                             "consecutive runs of several jobs failed"});
   }
   if (ref.spec->is_long_running) {
     return;
@@ -144,7 +145,7 @@
   }
 }
 
-void RunTracker::ReleaseGangAfterDone(const TaskRef& ref, std::uint64_t run, TimePoint now) {
+void RunTracker::CompleteGang(const TaskRef& ref, std::uint64_t run, TimePoint now) {
   for (std::uint32_t i = 0; i < ref.step->tasks.size(); ++i) {
     TaskKey key = ref.key;
     key.index = i;
@@ -156,12 +157,12 @@
   }
 }
 
-void RunTracker::TakeActive(EndpointState& endpoint, const ActiveRun& active, TimePoint now) {
+void RunTracker::ProcessActive(EndpointState& endpoint, const ActiveRun& active, TimePoint now) {
   const TaskRef ref = this->state.Find(active.task);
   if (ref) {
     this->state.MarkStarted(ref, endpoint, now);
   }
-  if (!this->IsMine(ref, endpoint, active.run)) {
+  if (!this->IsCurrentRun(ref, endpoint, active.run)) {
     endpoint.orphaned_runs.try_emplace({active.task, active.run}, TimePoint{});
     this->state.has_orphaned_runs = true;
     return;
@@ -185,16 +186,16 @@
   }
 }
 
-void RunTracker::DropMissing(EndpointState& endpoint, const RenewalReport& report, TimePoint sent,
-                             TimePoint now) {
+void RunTracker::ReleaseUnlisted(EndpointState& endpoint, const RenewalReport& report,
+                                 TimePoint sent, TimePoint now) {
   std::set<std::pair<TaskKey, std::uint64_t>> listed;
   for (const ActiveRun& active : report.active) {
     listed.insert({active.task, active.run});
   }
-  for (auto stray = endpoint.orphaned_runs.begin(); stray != endpoint.orphaned_runs.end();) {
-    stray = listed.contains(stray->first) ? std::next(stray) : endpoint.orphaned_runs.erase(stray);
+  for (auto run = endpoint.orphaned_runs.begin(); run != endpoint.orphaned_runs.end();) {
+    run = listed.contains(run->first) ? std::next(run) : endpoint.orphaned_runs.erase(run);
   }
-  std::vector<TaskRef> given_up;
+  std::vector<TaskRef> released;
   const std::vector<TaskKey> claims(endpoint.claims.begin(), endpoint.claims.end());
   for (const TaskKey& key : claims) {
     const TaskRef ref = this->state.Find(key);
@@ -205,38 +206,39 @@
     const bool was_confirmed = task.state == RunState::kActive && task.since < sent;
     const bool is_settled =
         task.state == RunState::kStopping && task.stop_answered && *task.stop_answered < sent;
-    const bool is_past =
+    const bool is_expired =
         (task.state == RunState::kUnconfirmed || task.state == RunState::kStopping) &&
         task.start_expires < sent;
-    // This answer knows our token, so that a predecessor's order can't be carried out any more.
-    const bool is_fenced_off = task.state == RunState::kUnconfirmed && task.is_adopted;
-    if (was_confirmed || is_settled || is_past || is_fenced_off) {
-      this->state.ReportEvent({"run_absent",
-                               key,
-                               {},
-                               endpoint.record.id,
-                               "not listed by an answer that is newer than its order"});
+    // The endpoint knows this owner's token, so that it refuses a predecessor's order from now on.
+    const bool is_fenced = task.state == RunState::kUnconfirmed && task.is_adopted;
+    if (was_confirmed || is_settled || is_expired || is_fenced) {
+      this->state.ReportEvent(
+          {"run_absent",
+           key,
+           {},
+           endpoint.record.id,
+           "not listed in a response to a request that was sent after its order"});
       this->state.Release(ref);
-      given_up.push_back(ref);
+      released.push_back(ref);
     }
   }
-  this->BreakGangsOf(given_up, now);
+  this->StopGangsOf(released, now);
 }
 
-/// After all claims of an endpoint have been looked at: a member that is stopped looks like one
-/// whose start can't arrive any more.
-void RunTracker::BreakGangsOf(const std::vector<TaskRef>& given_up, TimePoint now) {
-  for (const TaskRef& ref : given_up) {
+/// Called after all claims of an endpoint have been checked, because a member that is being stopped
+/// can't be told from one whose start can't arrive any more.
+void RunTracker::StopGangsOf(const std::vector<TaskRef>& released, TimePoint now) {
+  for (const TaskRef& ref : released) {
     this->state.StopGang(ref, now);
   }
 }
 
-/// What can go wrong: the new life took a run before anybody here had heard of it. Released on the
-/// registry's word, the task would be started beside itself. So the registry's word only asks for a
-/// look, whose answer says what runs there.
+/// The new incarnation may have started a run before this process learned of the restart. If the
+/// claim were released on the registration, the task would run twice. Therefore a registration only
+/// causes a status request, whose answer lists the active runs.
 void RunTracker::OnRestartRegistered(EndpointState& endpoint, std::int64_t born_ms) {
   if (endpoint.claims.empty()) {
-    Forget(endpoint);
+    ResetIncarnation(endpoint);
     endpoint.born_ms = born_ms;
     return;
   }
@@ -244,12 +246,12 @@
   endpoint.clock_ms.reset();
 }
 
-void RunTracker::OnNewLife(EndpointState& endpoint, const RenewalReport& report, TimePoint now) {
-  std::set<std::pair<TaskKey, std::uint64_t>> kept;
+void RunTracker::OnRestart(EndpointState& endpoint, const RenewalReport& report, TimePoint now) {
+  std::set<std::pair<TaskKey, std::uint64_t>> listed;
   for (const ActiveRun& active : report.active) {
-    kept.insert({active.task, active.run});
+    listed.insert({active.task, active.run});
   }
-  std::vector<TaskRef> given_up;
+  std::vector<TaskRef> released;
   const std::vector<TaskKey> claims(endpoint.claims.begin(), endpoint.claims.end());
   for (const TaskKey& key : claims) {
     const TaskRef ref = this->state.Find(key);
@@ -257,31 +259,32 @@
     if (task.progress.endpoint_born_ms == report.born_ms) {
       continue;
     }
-    if (kept.contains({key, task.progress.run})) {
+    if (listed.contains({key, task.progress.run})) {
       task.progress.endpoint_born_ms = report.born_ms;
       this->state.MarkDirty(*ref.job);
       continue;
     }
-    given_up.push_back(ref);
-    // Of several tries, one that was overtaken may come after the run has been shown.
+    released.push_back(ref);
+    // Of several tries, a delayed one may arrive after the run was reported.
     const bool is_settled = task.is_reported && task.start_tries <= 1;
-    const bool may_arrive = !task.is_adopted && !is_settled && task.state != RunState::kRecording;
-    if (may_arrive) {
-      // The start has no answer yet. Its time limit is on the former life's clock and doesn't hold
-      // it back in this one, nor does a stop there; only a stop here does.
+    const bool may_start = !task.is_adopted && !is_settled && task.state != RunState::kRecording;
+    if (may_start) {
+      // The start is unanswered. Its deadline is on the former incarnation's clock and doesn't stop
+      // this one from executing it, and neither does a stop that the former one executed. Only a
+      // stop sent to this incarnation does.
       this->state.BeginStop(ref, now);
       task.last_order_sent = TimePoint{};
       task.stop_answered.reset();
       continue;
     }
-    this->state.ReportEvent({"run_lost", key, {}, endpoint.record.id, "the endpoint started anew"});
+    this->state.ReportEvent({"run_lost", key, {}, endpoint.record.id, "the endpoint restarted"});
     this->state.Release(ref);
   }
-  this->BreakGangsOf(given_up, now);
-  Forget(endpoint);
+  this->StopGangsOf(released, now);
+  ResetIncarnation(endpoint);
 }
 
-void RunTracker::Forget(EndpointState& endpoint) {
+void RunTracker::ResetIncarnation(EndpointState& endpoint) {
   endpoint.clock_ms.reset();
   endpoint.seen_end = 0;
   endpoint.stored_end = 0;
@@ -291,26 +294,26 @@
   endpoint.failed_jobs.clear();
 }
 
-void RunTracker::Lose(EndpointState& endpoint, const std::string& why, TimePoint now) {
-  std::vector<TaskRef> given_up;
+void RunTracker::ReleaseAll(EndpointState& endpoint, const std::string& why, TimePoint now) {
+  std::vector<TaskRef> released;
   const std::vector<TaskKey> claims(endpoint.claims.begin(), endpoint.claims.end());
   for (const TaskKey& key : claims) {
     this->state.ReportEvent({"run_lost", key, {}, endpoint.record.id, why});
-    given_up.push_back(this->state.Find(key));
-    this->state.Release(given_up.back());
+    released.push_back(this->state.Find(key));
+    this->state.Release(released.back());
   }
-  this->BreakGangsOf(given_up, now);
+  this->StopGangsOf(released, now);
 }
 
 void RunTracker::OnEndpointReplaced(EndpointState& endpoint, TimePoint now) {
-  this->Lose(endpoint, "another endpoint answers at its address", now);
+  this->ReleaseAll(endpoint, "another endpoint answers at its address", now);
   endpoint.is_silent = true;
 }
 
 void RunTracker::ReleaseExpiredLeases(TimePoint now) {
   for (const auto& [id, endpoint] : this->state.endpoints) {
     if (!endpoint->claims.empty() && now > endpoint->lease_end) {
-      this->Lose(*endpoint, "its lease must have lapsed", now);
+      this->ReleaseAll(*endpoint, "its lease has lapsed", now);
     }
   }
 }
@@ -318,7 +321,7 @@
 void RunTracker::OnStartAnswered(const StartOrder& order, OrderOutcome outcome, TimePoint now) {
   EndpointState* endpoint = this->state.FindEndpoint(order.endpoint);
   const TaskRef ref = this->state.Find(order.task);
-  if (endpoint == nullptr || !this->IsMine(ref, *endpoint, order.run)) {
+  if (endpoint == nullptr || !this->IsCurrentRun(ref, *endpoint, order.run)) {
     return;
   }
   Task& task = *ref.task;
@@ -350,20 +353,20 @@
       }
       break;
     case OrderOutcome::kNoCapacity:
-      endpoint->full_until = now + kFullPause;
+      endpoint->full_until = now + kFullBackoff;
       break;
     case OrderOutcome::kBadTicket:
       ref.step->advice = {};
       break;
     case OrderOutcome::kTooLate:
     case OrderOutcome::kRefused:
-      endpoint->full_until = now + kFullPause;
+      endpoint->full_until = now + kFullBackoff;
       break;
     case OrderOutcome::kOtherIncarnation:
       this->OnEndpointReplaced(*endpoint, now);
       return;
   }
-  // A try without answer may still be carried out; only the last answer speaks of this one.
+  // An unanswered earlier try may still be executed; this answer is only about the last one.
   if (task.start_tries > 1) {
     this->state.BeginStop(ref, now);
     this->state.StopGang(ref, now);
@@ -381,7 +384,7 @@
   }
   EndpointState* endpoint = this->state.FindEndpoint(order.endpoint);
   const TaskRef ref = this->state.Find(order.task);
-  if (endpoint == nullptr || !this->IsMine(ref, *endpoint, order.run)) {
+  if (endpoint == nullptr || !this->IsCurrentRun(ref, *endpoint, order.run)) {
     return;
   }
   const bool is_answered = outcome == OrderOutcome::kDone || outcome == OrderOutcome::kRunTooOld;
--- a/src/jobs/run_tracker.h
+++ b/src/jobs/run_tracker.h
@@ -4,41 +4,48 @@
 
 namespace chervilspar::jobs {
 
-/// Follows the runs on endpoints from what the endpoints answer.
+/// Tracks the runs on endpoints by the endpoints' answers.
 ///
-/// What can go wrong: an answer that is lost or overtaken makes a run look as if it had never
-/// begun, the task is started elsewhere, and both runs charge the same deposit. So a claim is
-/// given up only on proof: the endpoint lists the run's end, or answers after the order's time
-/// has passed without listing it, or lives a new life, or its leases must have lapsed.
+/// If a lost or reordered answer were taken as proof that a run never started, the task would be
+/// started elsewhere, and both runs would charge the same deposit. Therefore a claim is released
+/// only on proof: the endpoint lists the run's end, or answers after the order's deadline without
+/// listing the run, or has restarted, or its leases have certainly lapsed.
 class RunTracker {
  public:
   explicit RunTracker(SchedulerState& state) : state(state) {}
 
+  /// Processes an endpoint's answer to a request that was sent at `sent`.
   void OnHeld(EndpointState& endpoint, const RenewalReport& report, TimePoint sent, TimePoint now);
   void OnStartAnswered(const StartOrder& order, OrderOutcome outcome, TimePoint now);
   void OnStopAnswered(const StopOrder& order, OrderOutcome outcome, TimePoint now);
-  /// The registry tells of a life of the endpoint that has not answered here yet.
+  /// The registry lists an incarnation of the endpoint that has not answered this process yet.
   void OnRestartRegistered(EndpointState& endpoint, std::int64_t born_ms);
-  /// Another endpoint answers at its address, so this one has ended.
+  /// Another endpoint answers at its address, so this one no longer exists.
   void OnEndpointReplaced(EndpointState& endpoint, TimePoint now);
-  /// Gives up what ran on endpoints whose leases have lapsed.
+  /// Releases the claims on endpoints whose leases have lapsed.
   void ReleaseExpiredLeases(TimePoint now);
 
  private:
-  void TakeEnd(EndpointState& endpoint, const EndedRun& ended, TimePoint now);
-  /// The answer comes from another life than the one that the claims belong to.
-  void OnNewLife(EndpointState& endpoint, const RenewalReport& report, TimePoint now);
-  /// Drops what was known of the former life beside its claims.
-  static void Forget(EndpointState& endpoint);
-  void TakeFailure(const TaskRef& ref, EndpointState& endpoint, const EndedRun& ended);
-  void TakeActive(EndpointState& endpoint, const ActiveRun& active, TimePoint now);
-  void DropMissing(EndpointState& endpoint, const RenewalReport& report, TimePoint sent,
-                   TimePoint now);
-  void ReleaseGangAfterDone(const TaskRef& ref, std::uint64_t run, TimePoint now);
-  /// Of each gang that has lost one of these members, stops the others.
-  void BreakGangsOf(const std::vector<TaskRef>& given_up, TimePoint now);
-  void Lose(EndpointState& endpoint, const std::string& why, TimePoint now);
-  bool IsMine(const TaskRef& ref, const EndpointState& endpoint, std::uint64_t run) const;
+  void ProcessEnd(EndpointState& endpoint, const EndedRun& ended, TimePoint now);
+  /// The answer comes from another incarnation than the one that the claims belong to.
+  void OnRestart(EndpointState& endpoint, const RenewalReport& report, TimePoint now);
+  /// Resets everything known about the former incarnation except its claims.
+  static void ResetIncarnation(EndpointState& endpoint);
+  /// Counts a failed run against its task, and ejects an endpoint on which runs of several jobs
+  /// failed.
+  void ProcessFailure(const TaskRef& ref, EndpointState& endpoint, const EndedRun& ended);
+  void ProcessActive(EndpointState& endpoint, const ActiveRun& active, TimePoint now);
+  /// Releases the claims whose runs the report proves to be neither active nor startable.
+  void ReleaseUnlisted(EndpointState& endpoint, const RenewalReport& report, TimePoint sent,
+                       TimePoint now);
+  /// One member of a gang is done, which completes the whole gang.
+  void CompleteGang(const TaskRef& ref, std::uint64_t run, TimePoint now);
+  /// Stops the remaining members of each gang that lost one of these members.
+  void StopGangsOf(const std::vector<TaskRef>& released, TimePoint now);
+  /// Releases all claims on the endpoint; `why` is logged.
+  void ReleaseAll(EndpointState& endpoint, const std::string& why, TimePoint now);
+  /// Whether `run` is the current run of the task and its claim is on `endpoint`.
+  bool IsCurrentRun(const TaskRef& ref, const EndpointState& endpoint, std::uint64_t run) const;
 
   SchedulerState& state;
 };
--- a/src/jobs/scheduler_state.cc
+++ b/src/jobs/scheduler_state.cc
@@ -6,13 +6,13 @@
 
 namespace {
 
-/// Notes kept until the process takes them; a round makes a few hundred at most.
+/// Limit of pending notes; a round adds a few hundred at most.
 constexpr std::size_t kMaxNotes = 4096;
-/// By its estimate, such a task is at work for longer than a take-over.
+/// A task with at least this estimate usually runs for longer than a take-over lasts.
 constexpr std::int64_t kLongTaskMs = 5000;
-/// That another job has begun is stored after this, unless something else was stored of it before:
-/// most jobs have an end by then, and each record is priced.
-constexpr Duration kBegunUnstored = std::chrono::seconds(3);
+/// The start of a job without long tasks is stored after this delay, unless another change of the
+/// job was stored before: most jobs have ended by then, and each record costs money.
+constexpr Duration kStartRecordDelay = std::chrono::seconds(3);
 
 }  // namespace
 
@@ -21,15 +21,15 @@
     case WaitReason::kNone:
       return "nothing";
     case WaitReason::kNoCapacity:
-      return "no endpoint of its pool has room";
+      return "no endpoint of its pool has free capacity";
     case WaitReason::kNoEligibleEndpoint:
-      return "no endpoint of its pool may run it";
+      return "no endpoint of its pool is eligible to run it";
     case WaitReason::kCordoned:
-      return "each endpoint that may run it is in a zone that is cordoned";
+      return "every eligible endpoint is in a cordoned zone";
     case WaitReason::kTeamLimit:
-      return "its team runs as much as it may";
+      return "its team has reached its limit";
     case WaitReason::kAdvice:
-      return "the adviser has not said where it may run";
+      return "the adviser has not answered on which endpoints it may run";
   }
   return "unknown";
 }
@@ -42,8 +42,8 @@
   return need;
 }
 
-std::int64_t ToMilliseconds(Duration span) {
-  return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
+std::int64_t ToMilliseconds(Duration duration) {
+  return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
 std::int64_t ToUnixMs(WallTime wall) {
@@ -115,14 +115,14 @@
 }
 
 Occurrence& SchedulerState::GetOrCreateOccurrence(JobState& job, std::uint32_t number) {
-  const auto [place, is_new] = job.occurrences.try_emplace(number);
+  const auto [entry, is_new] = job.occurrences.try_emplace(number);
   if (is_new) {
     for (const Step& step : job.job.steps) {
-      place->second.steps.emplace_back().tasks.resize(step.count);
+      entry->second.steps.emplace_back().tasks.resize(step.count);
     }
     this->Advance(job, number);
   }
-  return place->second;
+  return entry->second;
 }
 
 void SchedulerState::Advance(JobState& job, std::uint32_t number) {
@@ -138,16 +138,16 @@
   }
 }
 
-void SchedulerState::CountUse(const TaskRef& ref, EndpointState& endpoint, bool is_added) {
-  const Resources room = RequiredCapacity(*ref.spec);
+void SchedulerState::AccountUsage(const TaskRef& ref, EndpointState& endpoint, bool is_added) {
+  const Resources capacity = RequiredCapacity(*ref.spec);
   Resources& team = this->team_usage[ref.job->job.team];
   if (is_added) {
-    endpoint.used = endpoint.used + room;
+    endpoint.used = endpoint.used + capacity;
     team = team + ref.spec->need;
     endpoint.claims.insert(ref.key);
     ++ref.job->claims;
   } else {
-    endpoint.used = endpoint.used - room;
+    endpoint.used = endpoint.used - capacity;
     team = team - ref.spec->need;
     endpoint.claims.erase(ref.key);
     --ref.job->claims;
@@ -156,30 +156,30 @@
 
 void SchedulerState::ReserveCapacity(const TaskRef& ref, EndpointState& endpoint, TimePoint until) {
   this->ReleaseReservation(ref.key);
-  const Resources room = RequiredCapacity(*ref.spec);
-  endpoint.kept = endpoint.kept + room;
-  this->reservations[ref.key] = {endpoint.record.id, room, until};
+  const Resources capacity = RequiredCapacity(*ref.spec);
+  endpoint.reserved_capacity = endpoint.reserved_capacity + capacity;
+  this->reservations[ref.key] = {endpoint.record.id, capacity, until};
 }
 
 void SchedulerState::ReleaseReservation(const TaskKey& key) {
-  const auto kept = this->reservations.find(key);
-  if (kept == this->reservations.end()) {
+  const auto reservation = this->reservations.find(key);
+  if (reservation == this->reservations.end()) {
     return;
   }
-  if (EndpointState* endpoint = this->FindEndpoint(kept->second.endpoint)) {
-    endpoint->kept = endpoint->kept - kept->second.room;
+  if (EndpointState* endpoint = this->FindEndpoint(reservation->second.endpoint)) {
+    endpoint->reserved_capacity = endpoint->reserved_capacity - reservation->second.capacity;
   }
-  this->reservations.erase(kept);
+  this->reservations.erase(reservation);
 }
 
 void SchedulerState::ReleaseExpiredReservations(TimePoint now) {
-  std::vector<TaskKey> old;
-  for (const auto& [key, kept] : this->reservations) {
-    if (kept.until < now) {
-      old.push_back(key);
+  std::vector<TaskKey> expired;
+  for (const auto& [key, reservation] : this->reservations) {
+    if (reservation.until < now) {
+      expired.push_back(key);
     }
   }
-  for (const TaskKey& key : old) {
+  for (const TaskKey& key : expired) {
     this->ReleaseReservation(key);
   }
 }
@@ -198,21 +198,21 @@
   task.since = now;
   task.percent = 0;
   task.percent_since = now;
-  task.pace = 100;
+  task.speed_percent = 100;
   task.last_order_sent = now;
   task.is_adopted = false;
   task.is_reported = false;
   task.start_tries = 0;
   task.stop_answered.reset();
-  this->CountUse(ref, endpoint, true);
+  this->AccountUsage(ref, endpoint, true);
   this->MarkDirty(*ref.job);
 }
 
 void SchedulerState::Adopt(const TaskRef& ref) {
   Task& task = *ref.task;
   EndpointState& endpoint = this->GetOrCreateEndpoint(task.progress.endpoint);
-  // Where the registry already tells of a new life, that one may have taken the run before the
-  // predecessor heard of it; a look settles it.
+  // If the registry already lists a newer incarnation, that one may have started the run before the
+  // predecessor learned of it. The next status response tells which it is.
   endpoint.born_ms = std::max(endpoint.born_ms, task.progress.endpoint_born_ms);
   task.state = RunState::kUnconfirmed;
   task.is_adopted = true;
@@ -220,13 +220,13 @@
   task.endpoint = &endpoint;
   task.since = this->term_start;
   task.percent_since = this->term_start;
-  task.pace.reset();
+  task.speed_percent.reset();
   task.start_expires = this->term_start + this->options.predecessor_grace;
-  // No start is repeated for a predecessor; what doesn't show up is stopped.
+  // A predecessor's start is never repeated; a run that isn't reported is stopped.
   task.start_tries = this->options.start_tries;
   endpoint.lease_end =
       this->term_start + this->options.predecessor_grace + this->options.LongestLease();
-  this->CountUse(ref, endpoint, true);
+  this->AccountUsage(ref, endpoint, true);
 }
 
 void SchedulerState::Release(const TaskRef& ref) {
@@ -234,7 +234,7 @@
   if (task.state == RunState::kNone) {
     return;
   }
-  this->CountUse(ref, *task.endpoint, false);
+  this->AccountUsage(ref, *task.endpoint, false);
   task.state = RunState::kNone;
   task.endpoint = nullptr;
   task.ticket.clear();
@@ -247,8 +247,8 @@
   this->RefreshReady(*ref.job);
 }
 
-/// What can go wrong: a member was ordered and never came, or is lost, and the others hold their
-/// room and wait for it until their endpoints end them.
+/// If a member of a gang never starts or is lost, the others would occupy their capacity and wait
+/// for it until their endpoints end them.
 void SchedulerState::StopGang(const TaskRef& ref, TimePoint now) {
   if (!ref.spec->is_gang) {
     return;
@@ -280,12 +280,13 @@
   JobState& job = *ref.job;
   if (!job.has_started) {
     job.has_started = true;
-    job.begun = now;
+    job.start_observed = now;
     this->ReportStart(ref, endpoint, now);
   }
-  // Otherwise nothing may be stored of it for long, and a successor would take it for waiting.
+  // Without a record of the start, a successor would treat the job as waiting.
   const bool is_long = job.job.IsLongRunning() || ref.spec->estimate_ms >= kLongTaskMs;
-  if (job.stored_phase == JobPhase::kQueued && (is_long || now - job.begun >= kBegunUnstored)) {
+  if (job.stored_phase == JobPhase::kQueued &&
+      (is_long || now - job.start_observed >= kStartRecordDelay)) {
     this->MarkDirty(job);
   }
 }
@@ -294,18 +295,18 @@
   const JobState& job = *ref.job;
   if (!job.first_start_sent) {
     this->ReportEvent(
-        {"job_found_running", ref.key, {}, endpoint.record.id, "ordered by an earlier owner"});
+        {"job_found_running", ref.key, {}, endpoint.record.id, "started by an earlier owner"});
     return;
   }
-  this->ReportEvent(
-      {"job_started",
-       ref.key,
-       {},
-       endpoint.record.id,
-       std::to_string(this->wall_ms - job.job.taken_ms) + " ms after it was accepted, " +
-           std::to_string(job.deadline_ms - this->wall_ms) +
-           " ms before it is late; first ordered " +
-           std::to_string(ToMilliseconds(now - *job.first_start_sent)) + " ms before"});
+  this->ReportEvent({"job_started",
+                     ref.key,
+                     {},
+                     endpoint.record.id,
+                     std::to_string(this->wall_ms - job.job.taken_ms) +
+                         " ms after it was accepted, " +
+                         std::to_string(job.deadline_ms - this->wall_ms) +
+                         " ms before its deadline; its first start was sent " +
+                         std::to_string(ToMilliseconds(now - *job.first_start_sent)) + " ms ago"});
 }
 
 void SchedulerState::MarkDone(const TaskRef& ref, TimePoint now) {
--- a/src/jobs/scheduler_state.h
+++ b/src/jobs/scheduler_state.h
@@ -15,24 +15,24 @@
 
 struct EndpointState;
 
-/// A task without estimate counts as one of so many milliseconds.
+/// The minimum run time that is assumed for a task, also for one without estimate.
 inline constexpr std::int64_t kMinEstimateMs = 50;
 
-/// The percent of a long-running task that has come to work.
+/// The progress of a long-running task that is ready.
 inline constexpr int kReadyPercent = 100;
 
-/// Where a task's run is, as this process knows it.
+/// The state of a task's run, as known to this process.
 enum class RunState {
   kNone,
-  /// Placed; the record that says so isn't stored yet, and nothing was sent.
+  /// Placed; the record of the placement isn't stored yet, and no start was sent.
   kRecording,
-  /// The start is on its way.
+  /// A start was sent and isn't answered yet.
   kStarting,
-  /// The start got no answer, or a predecessor placed it: it may run or come to run.
+  /// The start got no answer, or a predecessor placed the run: it may be active or become active.
   kUnconfirmed,
   /// The endpoint has confirmed it.
   kActive,
-  /// A stop is on its way; it counts until its end is known.
+  /// A stop is due or was sent; the run keeps its claim until its end is known.
   kStopping,
 };
 
@@ -40,34 +40,36 @@
 struct Task {
   TaskProgress progress;
   RunState state = RunState::kNone;
-  /// Where the claim counts; null exactly when `state` is `kNone`.
+  /// The endpoint with the claim; null exactly when `state` is `kNone`.
   EndpointState* endpoint = nullptr;
-  /// When `state` began.
+  /// When `state` was entered.
   TimePoint since{};
   /// When the last start or stop was sent.
   TimePoint last_order_sent{};
-  /// After this, by our clock, an unanswered start can't be carried out any more.
+  /// The time on this process's clock after which an unanswered start can no longer be executed.
   TimePoint start_expires{};
-  /// The same on the endpoint's clock.
+  /// The end of the first lease on the endpoint's clock, after which it refuses the start.
   std::int64_t lease_end_ms = 0;
   int start_tries = 0;
   /// Placed by a predecessor.
   bool is_adopted = false;
-  /// The endpoint has shown this run; if it was ordered once, no start of it is under way any more.
+  /// The endpoint has reported this run. If only one start was sent, none is in flight any more.
   bool is_reported = false;
   /// When the endpoint answered a stop of this run.
   std::optional<TimePoint> stop_answered;
+  /// As in `ActiveRun`, like `gauge`.
   int percent = 0;
   TimePoint percent_since{};
   std::int64_t gauge = 0;
-  /// As ordered last; nothing when it isn't known what came of that.
-  std::optional<int> pace = 100;
+  /// The speed ordered last; nothing if it is unknown whether the order was executed.
+  std::optional<int> speed_percent = 100;
+  /// The task isn't placed earlier than this.
   TimePoint not_before{};
   int restarts = 0;
-  /// Passed over in the next placement, as the last run failed there.
+  /// Skipped in the next placement, as the last run failed there.
   std::string avoided_endpoint;
   std::string ticket;
-  /// It should leave its endpoint, and no other has room for it.
+  /// The task has to move to another endpoint, and none has free capacity for it.
   bool lacks_target = false;
 
   bool IsWaiting() const {
@@ -75,7 +77,7 @@
   }
 };
 
-/// What the adviser said of a step.
+/// The adviser's last answer on a step.
 struct StepAdvice {
   bool is_asked = false;
   TimePoint asked{};
@@ -86,7 +88,7 @@
 struct StepState {
   std::vector<Task> tasks;
   std::uint32_t done = 0;
-  /// All earlier steps that it waits for are done.
+  /// All steps that it depends on are done.
   bool is_open = false;
   StepAdvice advice;
 
@@ -99,16 +101,16 @@
   bool IsDone() const;
 };
 
-/// Why a job's next task has no endpoint.
+/// Why the next task of a job has no endpoint.
 enum class WaitReason { kNone, kNoCapacity, kNoEligibleEndpoint, kCordoned, kTeamLimit, kAdvice };
 
 const char* ToString(WaitReason reason);
 
-/// The place of a job among those that wait for the same endpoints; smaller goes first.
+/// The sort key of a job among those that wait for the same endpoints; smaller keys go first.
 struct ReadyKey {
-  /// 0 for long-running work, then by the queue's priority.
+  /// 0 for long-running jobs, otherwise 1 plus the queue's priority.
   std::uint32_t rank = 0;
-  /// Unix milliseconds: started later than this, the job is late.
+  /// Unix milliseconds; a job that starts later than this misses its deadline.
   std::int64_t latest_start_ms = 0;
   JobId job;
 
@@ -119,22 +121,24 @@
   Job job;
   ServiceId service;
   std::uint32_t attempts = 1;
-  /// Its queue's steps run only where the adviser allows.
+  /// The steps of its queue run only on endpoints that the adviser allows.
   bool needs_advice = false;
-  /// Unix milliseconds; the job is late afterwards, and worthless after `worthless_ms`.
+  /// Unix milliseconds; after this the job is late, and after `worthless_ms` its result is of no
+  /// use.
   std::int64_t deadline_ms = 0;
   std::int64_t worthless_ms = 0;
   bool is_cancelled = false;
   bool is_failed = false;
-  /// When this owner sent the first order to start one of its tasks.
+  /// When this owner sent the first start of one of its tasks.
   std::optional<TimePoint> first_start_sent;
-  /// An endpoint has shown a run of one of its tasks. An order alone may come to nothing.
+  /// An endpoint has reported a run of one of its tasks. A start alone may have no effect.
   bool has_started = false;
-  /// When that was shown to this owner.
-  TimePoint begun{};
+  /// When this owner first received such a report.
+  TimePoint start_observed{};
+  /// Its progress has to be stored with the next batch.
   bool is_dirty = false;
   std::int64_t ended_ms = 0;
-  /// The last phase that was stored.
+  /// The phase that was stored last.
   JobPhase stored_phase = JobPhase::kQueued;
   std::map<std::uint32_t, Occurrence> occurrences;
   std::set<std::uint32_t> complete_occurrences;
@@ -142,14 +146,14 @@
   /// Tasks with a claim on an endpoint.
   std::uint32_t claims = 0;
   std::optional<ReadyKey> ready;
-  /// It could be on time, but not together with the others; see `OverloadPlan`.
+  /// The job could meet its deadline alone, but not together with the others; see `OverloadPlan`.
   bool is_abandoned = false;
-  /// Told of once for each reason, when the job is late.
+  /// The last reason logged for a late job; each change is logged once.
   WaitReason reported_wait_reason = WaitReason::kNone;
 
   bool IsComplete() const { return this->complete_occurrences.size() == this->job.Occurrences(); }
   JobPhase Phase() const;
-  /// Nothing of it will be started any more.
+  /// No task of the job will be started any more.
   bool IsOver() const { return this->is_cancelled || this->is_failed || this->IsComplete(); }
 };
 
@@ -157,69 +161,75 @@
   EndpointRecord record;
   bool is_registered = false;
   bool is_evacuating = false;
-  /// Its zone is; see `ZoneCordon`.
+  /// Its zone is cordoned; see `ZoneCordon`.
   bool is_cordoned = false;
   /// Its VM is to be rebooted soon.
   bool is_reboot_due = false;
-  /// The life that the claims belong to; 0 until it is known.
+  /// The incarnation that the claims belong to; 0 until it is known.
   std::int64_t born_ms = 0;
-  /// Its clock at a moment of ours; nothing before its first answer.
+  /// Its clock when this process's clock showed `clock_at`; nothing before its first response.
   std::optional<std::int64_t> clock_ms;
   TimePoint clock_at{};
   TimePoint last_response{};
-  /// When the last renewal that was answered was sent.
+  /// When the last answered request was sent.
   TimePoint last_answered_request{};
+  /// It is unresponsive: the last request failed, or its incarnation is unknown.
   bool is_silent = false;
-  /// By our clock, all that was started there has lost its lease at this time if nobody renews.
+  /// The time on this process's clock at which all leases on it have lapsed unless they are
+  /// renewed.
   TimePoint lease_end{};
   Resources used;
-  /// Kept free for tasks that are on their way here from an endpoint that is being emptied.
-  Resources kept;
+  /// Reserved for tasks that are moving here from an endpoint that is being evacuated.
+  Resources reserved_capacity;
   std::set<TaskKey> claims;
-  /// Runs that nobody here knows, with the time of their last stop.
+  /// Runs that match no claim of this process, with the time of their last stop.
   std::map<std::pair<TaskKey, std::uint64_t>, TimePoint> orphaned_runs;
-  /// Highest end taken in, stored, and confirmed to the endpoint.
+  /// The highest numbers of ends that were processed, stored, and confirmed to the endpoint.
   std::uint64_t seen_end = 0;
   std::uint64_t stored_end = 0;
   std::uint64_t confirmed_end = 0;
-  /// Runs that failed in a row, over these jobs.
+  /// The number of consecutive failed runs, and the jobs that they belong to.
   int failures = 0;
   std::set<JobId> failed_jobs;
   TimePoint ejected_until{};
   TimePoint full_until{};
-  int pace = 100;
-  /// A `LapseNotice` about it is stored or may be: nothing is renewed or started there.
+  /// The speed of its fillers.
+  int speed_percent = 100;
+  /// A `LapseNotice` about it is stored or may be, so that it gets no renewals and no starts.
   bool has_lapse_notice = false;
   /// When the last notice was made.
-  TimePoint noticed{};
+  TimePoint last_lapse_notice{};
 
-  Resources FreeCapacity() const { return this->record.capacity - this->used - this->kept; }
+  Resources FreeCapacity() const {
+    return this->record.capacity - this->used - this->reserved_capacity;
+  }
   bool IsLeaving() const { return this->is_evacuating || this->record.is_draining; }
-  /// The least that its clock may show, if it is by `slowness` slower than ours since it was read.
-  /// A lease that is reckoned from it ends early rather than late.
+  /// The lowest value, in milliseconds, that its clock may show at `now` if it is slower than this
+  /// process's clock by the fraction `slowness`. A lease that is computed from it ends early rather
+  /// than late. Needs `clock_ms`.
   std::int64_t EarliestClockAt(TimePoint now, double slowness) const;
 };
 
-/// FreeCapacity that is kept for one task.
-struct KeptRoom {
+/// Capacity of an endpoint that is reserved for one task.
+struct CapacityReservation {
   std::string endpoint;
-  Resources room;
+  Resources capacity;
   TimePoint until{};
 };
 
 struct PoolState {
-  /// Estimated work of the jobs that came, in thousandths of a core and in megabytes, each times
-  /// milliseconds.
+  /// Estimated work of the jobs that have arrived, in thousandths of a core and in megabytes, each
+  /// multiplied by milliseconds.
   double arrived_cpu = 0;
   double arrived_memory = 0;
   double arrived_jobs = 0;
   std::vector<EndpointState*> endpoints;
   std::set<ReadyKey> ready;
-  /// When it was last planned who is served on time.
+  /// When the last `OverloadPlan` was made.
   TimePoint planned{};
 };
 
-/// A task together with all that it belongs to.
+/// A task with the job, occurrence and step that it belongs to.
 struct TaskRef {
   JobState* job = nullptr;
   Occurrence* occurrence = nullptr;
@@ -231,93 +241,105 @@
   explicit operator bool() const { return this->task != nullptr; }
 };
 
-/// The tables of the scheduler and the few operations that keep them in step with one another.
+/// The tables of the scheduler and the operations that keep them consistent with one another.
 struct SchedulerState {
   SchedulerState(const SchedulerOptions& options, std::uint64_t token, TimePoint term_start);
 
+  /// Returns an empty reference if there is no such task.
   TaskRef Find(const TaskKey& key);
+  /// These return null if there is none.
   JobState* FindJob(const JobId& id);
   EndpointState* FindEndpoint(const std::string& id);
   EndpointState& GetOrCreateEndpoint(const std::string& id);
 
-  /// Makes the tasks of an occurrence unless they are there.
+  /// Returns the occurrence; creates its tasks if it doesn't exist yet.
   Occurrence& GetOrCreateOccurrence(JobState& job, std::uint32_t number);
-  /// Opens the steps whose predecessors are done, and counts the occurrence when all are.
+  /// Opens the steps whose dependencies are done, and marks the occurrence complete if all are
+  /// done.
   void Advance(JobState& job, std::uint32_t number);
 
-  /// Keeps room for a task that is being moved to `endpoint`.
+  /// Reserves capacity for a task that is being moved to `endpoint`; replaces its last reservation.
   void ReserveCapacity(const TaskRef& ref, EndpointState& endpoint, TimePoint until);
   void ReleaseReservation(const TaskKey& key);
   void ReleaseExpiredReservations(TimePoint now);
+  /// Places the waiting task on `endpoint` and counts its resources there.
   void Claim(const TaskRef& ref, EndpointState& endpoint, std::uint64_t run, TimePoint now);
-  /// The run is over or never was; its room is free.
+  /// Releases the claim of a run that has ended or never existed.
   void Release(const TaskRef& ref);
-  /// A claim that a predecessor stored.
+  /// Takes over a claim that a predecessor stored.
   void Adopt(const TaskRef& ref);
+  /// Stops the task's run, if any; a claim that isn't stored yet is released at once.
   void BeginStop(const TaskRef& ref, TimePoint now);
-  /// Stops what runs of the gang that the task belongs to, if any.
+  /// Stops all runs of the gang that the task belongs to, if any.
   void StopGang(const TaskRef& ref, TimePoint now);
-  /// An endpoint has shown that a run of the task has begun.
+  /// Called when an endpoint has reported that a run of the task was started.
   void MarkStarted(const TaskRef& ref, const EndpointState& endpoint, TimePoint now);
   void ReportStart(const TaskRef& ref, const EndpointState& endpoint, TimePoint now);
+  /// Marks the task as done and opens the steps that depend on it.
   void MarkDone(const TaskRef& ref, TimePoint now);
-  /// Ends all that runs of a job that is cancelled or has failed.
+  /// Stops all runs of a job that is cancelled or has failed.
   void StopAll(JobState& job, TimePoint now);
 
+  /// Has the job's progress stored with the next batch.
   void MarkDirty(JobState& job);
-  /// Puts the job where it belongs among those that wait, or takes it out.
+  /// Updates the job's position among the waiting jobs, or removes it from them.
   void RefreshReady(JobState& job);
-  /// Follows a change of the rules in what was derived from them.
+  /// Recomputes the fields of the job that are derived from the policy.
   void ApplyPolicyTo(JobState& job);
-  /// A long-running task runs there and isn't at work yet, or may run there.
+  /// Whether a long-running task on the endpoint isn't ready yet, or may be active there.
   bool HasStartingTask(const EndpointState& endpoint);
   bool IsWithinCap(const JobState& job, const Resources& need) const;
+  /// Adds an event for the log; drops and counts it if too many are pending.
   void ReportEvent(Note note);
 
   const SchedulerOptions options;
+  /// This owner's fencing token.
   const std::uint64_t token;
   const TimePoint term_start;
   Policy policy;
   std::set<ZoneId> cordoned_zones;
-  /// The time of day at the last decision, in Unix milliseconds.
+  /// The wall-clock time of the last decision, in Unix milliseconds.
   std::int64_t wall_ms = 0;
   std::unordered_map<JobId, std::unique_ptr<JobState>> jobs;
-  /// Cancelled before the job itself was seen here.
+  /// Jobs whose cancellation was read before their submission.
   std::set<JobId> cancelled_early;
   std::set<JobId> scheduled;
-  /// Ended jobs in the order in which they ended.
+  /// Ended jobs with their end in Unix milliseconds, in the order of their ends.
   std::deque<std::pair<std::int64_t, JobId>> ended;
   std::map<std::string, std::unique_ptr<EndpointState>> endpoints;
-  /// The same by hash, for the thousands of look-ups of a round.
+  /// A hash index of `endpoints`, for the thousands of lookups in a round.
   std::unordered_map<std::string, EndpointState*> endpoint_index;
   std::map<ServiceId, PoolState> pools;
-  std::map<TaskKey, KeptRoom> reservations;
-  /// Lapse notices to be stored, or dropped, with the next batch, by endpoint.
+  std::map<TaskKey, CapacityReservation> reservations;
+  /// By endpoint: encoded lapse notices to store with the next batch; `std::nullopt` deletes one.
   std::map<std::string, std::optional<std::string>> lapse_changes;
   std::map<TeamId, Resources> team_usage;
   std::vector<JobId> dirty;
-  /// Tasks whose start or stop may have to be sent again.
+  /// Tasks whose start or stop may have to be repeated.
   std::set<TaskKey> retry_candidates;
   std::vector<ThrottleOrder> paces;
   std::vector<Note> notes;
   std::uint64_t notes_dropped = 0;
   bool is_superseded = false;
-  /// Some endpoint may have runs that nobody here knows.
+  /// An endpoint may have orphaned runs.
   bool has_orphaned_runs = false;
-  /// Some endpoint may have told ends that are not in a batch yet.
+  /// An endpoint may have reported ends that are not in a batch yet.
   bool has_new_ends = false;
-  /// Until this time there was certainly no successor.
+  /// No successor existed before this time.
   TimePoint proof;
 
  private:
+  /// The estimated time of the longest chain of steps that remain, in milliseconds.
   std::int64_t CriticalPathMs(const JobState& job, const Occurrence& occurrence) const;
-  void CountUse(const TaskRef& ref, EndpointState& endpoint, bool is_added);
+  /// Adds or removes the task's claim in the usage of its endpoint, team and job.
+  void AccountUsage(const TaskRef& ref, EndpointState& endpoint, bool is_added);
 };
 
-/// What one task takes of an endpoint: a filler's cpu isn't counted there.
+/// The capacity that one task of the step claims on an endpoint; the cpu of a filler isn't counted.
 Resources RequiredCapacity(const Step& step);
 
-std::int64_t ToMilliseconds(Duration span);
+/// Rounds towards zero.
+std::int64_t ToMilliseconds(Duration duration);
 std::int64_t ToUnixMs(WallTime wall);
 
 }  // namespace chervilspar::jobs
--- a/src/jobs/vm_order_rate_limiter.cc
+++ b/src/jobs/vm_order_rate_limiter.cc
@@ -7,34 +7,35 @@
 
 namespace {
 
-/// Part of a second's orders that may leave at once after a pause. The platform counts over some
-/// span that isn't known; half a second's orders and the rate itself stay below it in any second.
+/// The largest burst, in seconds of the rate. The platform counts orders over an interval of
+/// unknown length; half a second's orders on top of the rate stay below its limit in any second.
 constexpr double kBurstSeconds = 0.5;
 
 }  // namespace
 
 VmOrderRateLimiter::VmOrderRateLimiter(double rate)
-    : rate(rate), left(std::max(1.0, rate * kBurstSeconds)) {}
+    : rate(rate), available(std::max(1.0, rate * kBurstSeconds)) {}
 
 void VmOrderRateLimiter::Refill(TimePoint now) {
   const std::chrono::duration<double> passed = now - this->refilled;
-  const double most = std::max(1.0, this->rate * kBurstSeconds);
-  this->left = std::min(most, this->left + std::max(0.0, passed.count()) * this->rate);
+  const double max_burst = std::max(1.0, this->rate * kBurstSeconds);
+  this->available =
+      std::min(max_burst, this->available + std::max(0.0, passed.count()) * this->rate);
   this->refilled = std::max(this->refilled, now);
 }
 
 bool VmOrderRateLimiter::TryAcquire(TimePoint now) {
   this->Refill(now);
-  if (this->left < 1.0) {
+  if (this->available < 1.0) {
     return false;
   }
-  this->left -= 1.0;
+  this->available -= 1.0;
   return true;
 }
 
 void VmOrderRateLimiter::OnRefused(TimePoint now) {
   this->Refill(now);
-  this->left = std::min(this->left, 0.0);
+  this->available = std::min(this->available, 0.0);
 }
 
 }  // namespace chervilspar::jobs
--- a/src/jobs/zone_cordon.cc
+++ b/src/jobs/zone_cordon.cc
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// The part of the bound that is left for a start's way, at most half of it: a read of the store
-/// may miss a record for a second, and an order is given up 0.65 s after it has left, carried by
-/// another entry.
-constexpr Duration kWay = std::chrono::milliseconds(2000);
+/// The part of the bound that is reserved for the delivery of a start, at most half of it: a read
+/// of the store may miss a record for 1 s, and an order that another entry forwards is abandoned
+/// 0.65 s after it was sent.
+constexpr Duration kMaxStartDelay = std::chrono::milliseconds(2000);
 
 }  // namespace
 
@@ -26,8 +26,8 @@
   if (!this->bound) {
     return true;
   }
-  const Duration way = std::min<Duration>(kWay, *this->bound / 2);
-  return proof && now - *proof < *this->bound - way;
+  const Duration delay = std::min<Duration>(kMaxStartDelay, *this->bound / 2);
+  return proof && now - *proof < *this->bound - delay;
 }
 
 }  // namespace chervilspar::jobs
--- a/tests/jobs/carrier_choice_test.cc
+++ b/tests/jobs/carrier_choice_test.cc
@@ -27,13 +27,13 @@
   double cores;
   int endpoints;
   std::vector<Carrier> carriers;
-  /// Which carriers the endpoints' orders go through; empty: the owner gives them itself.
+  /// The carriers that forward orders; empty: the owner sends them itself.
   std::set<std::string> used;
 };
 
-class Choices : public ::testing::TestWithParam<ChoiceCase> {};
+class SelectedCarriers : public ::testing::TestWithParam<ChoiceCase> {};
 
-TEST_P(Choices, TakeACarrierOfTheEndpointsZoneWhereThereAreManyEndpoints) {
+TEST_P(SelectedCarriers, AreInTheEndpointsZoneIfThereAreManyEndpoints) {
   CarrierChoice choice({}, GetParam().cores);
   choice.SetCarriers(GetParam().carriers);
   choice.SetEndpoints(Endpoints(GetParam().endpoints, "east"));
@@ -51,7 +51,7 @@
 const Carrier kWest{"10.0.0.3:1", ZoneId{"west"}};
 
 INSTANTIATE_TEST_SUITE_P(
-    Fleets, Choices,
+    Fleets, SelectedCarriers,
     ::testing::Values(ChoiceCase{"few_endpoints", 0.25, 50, {kEast1, kWest}, {}},
                       ChoiceCase{"many", 0.25, 51, {kEast1, kWest}, {kEast1.address}},
                       ChoiceCase{"many_for_a_small_owner", 0.12, 25, {kEast1}, {kEast1.address}},
@@ -64,14 +64,15 @@
                       ChoiceCase{"none_at_all", 0.5, 200, {}, {}}),
     [](const auto& info) { return info.param.name; });
 
-/// A carrier freezes. Without another choice, each renewal at a fifth of the endpoints waits for it
-/// until their leases have lapsed.
-TEST(CarrierChoice, PassesOverACarrierThatDoesNotAnswer) {
+/// A carrier hangs. If it weren't skipped, each renewal for a fifth of the endpoints would wait for
+/// it until their leases lapse.
+TEST(CarrierChoice, SkipsACarrierThatDoesNotAnswer) {
   CarrierChoice choice({}, 0.1);
   choice.SetCarriers({kEast1});
   choice.SetEndpoints(Endpoints(100, "east"));
   choice.OnUnanswered(kEast1.address, kNow);
-  EXPECT_EQ(choice.Choose("i1", kNow), kEast1.address) << "one miss may be the endpoint's fault";
+  EXPECT_EQ(choice.Choose("i1", kNow), kEast1.address)
+      << "one missing answer may be the endpoint's fault";
   choice.OnAnswered(kEast1.address);
   choice.OnUnanswered(kEast1.address, kNow);
   EXPECT_EQ(choice.Choose("i1", kNow), kEast1.address);
@@ -82,9 +83,9 @@
 
 const Carrier kEast3{"10.0.0.4:1", ZoneId{"east"}};
 
-/// The owner's own link is full, so that all carriers seem to be gone. Given by the owner itself,
-/// their orders fill that link further, and nothing is answered in time.
-TEST(CarrierChoice, GoesBackToCarriersWhoseLateAnswersShowThatThisEntryWasSlow) {
+/// The owner's own link is saturated, so that all carriers seem unreachable. If the owner sent the
+/// orders itself, they would add to the load of that link, and nothing would be answered in time.
+TEST(CarrierChoice, UsesCarriersAgainWhoseLateAnswersShowThatThisEntryWasSlow) {
   CarrierChoice choice({}, 0.1);
   choice.SetCarriers({kEast1, kEast2, kEast3, kWest});
   choice.SetEndpoints(Endpoints(100, "east"));
@@ -97,8 +98,8 @@
   EXPECT_EQ(choice.Choose("i1", kNow), kEast2.address);
 }
 
-/// One carrier answers late, the others in time: it is the one that is slow.
-TEST(CarrierChoice, PassesOverTheOneCarrierThatAnswersLate) {
+/// One carrier answers late and the others in time, so that the carrier is the slow part.
+TEST(CarrierChoice, SkipsASingleCarrierThatAnswersLate) {
   CarrierChoice choice({}, 0.1);
   choice.SetCarriers({kEast1, kWest});
   choice.SetEndpoints(Endpoints(100, "east"));
@@ -108,8 +109,9 @@
   EXPECT_EQ(choice.Choose("i1", kNow), std::nullopt);
 }
 
-/// Who is passed over stays so when the group changes, and who has left is no carrier any more.
-TEST(CarrierChoice, KeepsWhatIsKnownOfACarrier) {
+/// A skipped carrier stays skipped when the set of carriers changes, and a removed one isn't a
+/// carrier any more.
+TEST(CarrierChoice, KeepsTheHealthOfKnownCarriers) {
   CarrierChoice choice({}, 0.1);
   choice.SetCarriers({kEast1});
   choice.SetEndpoints(Endpoints(100, "east"));
--- a/tests/jobs/filler_throttle_test.cc
+++ b/tests/jobs/filler_throttle_test.cc
@@ -13,9 +13,9 @@
 constexpr std::int64_t kFarBelow = 40;
 
 /// A serving task and a filler beside it on one endpoint.
-class PacedWorld {
+class ThrottledWorld {
  public:
-  explicit PacedWorld(std::uint64_t token = 1) : world({}, token) {}
+  explicit ThrottledWorld(std::uint64_t token = 1) : world({}, token) {}
 
   void AddJobs() {
     Step serving = World::MakeStep(1);
@@ -34,8 +34,8 @@
     this->starts = this->world.StartAll();
   }
 
-  /// The endpoint tells the response time; gives the orders for the filler that follow.
-  std::vector<ThrottleOrder> Hear(std::int64_t response_ms) {
+  /// The endpoint reports the response time; returns the resulting throttle orders.
+  std::vector<ThrottleOrder> Report(std::int64_t response_ms) {
     std::vector<ActiveRun> active;
     for (const StartOrder& start : this->starts) {
       active.push_back(World::Active(start, 100));
@@ -49,87 +49,88 @@
   std::vector<StartOrder> starts;
 };
 
-/// What came of the order that brings a filler to its last pace.
-struct LastPaceCase {
+/// The outcome of the order that sets the last speed of a filler.
+struct LastSpeedCase {
   const char* name;
   std::int64_t response_ms;
-  int last_pace;
+  int last_speed;
   OrderOutcome outcome;
   bool is_ordered_again;
 };
 
-/// Guards against a filler that goes on disturbing, or stays halted, as the order for its pace was
-/// lost and taken for done.
-class LastPace : public ::testing::TestWithParam<LastPaceCase> {};
+/// Guards against a filler that keeps slowing down others, or stays halted, because the order for
+/// its speed was lost and taken as executed.
+class LastSpeed : public ::testing::TestWithParam<LastSpeedCase> {};
 
-TEST_P(LastPace, IsOrderedUntilItIsDone) {
-  PacedWorld paced;
-  paced.Start();
-  ASSERT_EQ(paced.starts.size(), 2U);
-  paced.Hear(kNearTarget);
+TEST_P(LastSpeed, IsOrderedUntilItIsDone) {
+  ThrottledWorld throttled;
+  throttled.Start();
+  ASSERT_EQ(throttled.starts.size(), 2U);
+  throttled.Report(kNearTarget);
   std::vector<ThrottleOrder> orders;
   for (int i = 0; i < 10; ++i) {
-    orders = paced.Hear(GetParam().response_ms);
+    orders = throttled.Report(GetParam().response_ms);
     ASSERT_EQ(orders.size(), 1U);
-    if (orders[0].percent == GetParam().last_pace) {
+    if (orders[0].percent == GetParam().last_speed) {
       break;
     }
-    paced.world.scheduler.OnPaceAnswered(orders[0], OrderOutcome::kDone);
+    throttled.world.scheduler.OnPaceAnswered(orders[0], OrderOutcome::kDone);
   }
-  ASSERT_EQ(orders[0].percent, GetParam().last_pace);
-  paced.world.scheduler.OnPaceAnswered(orders[0], GetParam().outcome);
-  const std::vector<ThrottleOrder> again = paced.Hear(GetParam().response_ms);
+  ASSERT_EQ(orders[0].percent, GetParam().last_speed);
+  throttled.world.scheduler.OnPaceAnswered(orders[0], GetParam().outcome);
+  const std::vector<ThrottleOrder> again = throttled.Report(GetParam().response_ms);
   EXPECT_EQ(!again.empty(), GetParam().is_ordered_again);
   EXPECT_TRUE(again.empty() || again[0] == orders[0]);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Paces, LastPace,
+    Speeds, LastSpeed,
     ::testing::Values(
-        LastPaceCase{"halted", kNearTarget, 0, OrderOutcome::kDone, false},
-        LastPaceCase{"halt_unanswered", kNearTarget, 0, OrderOutcome::kNoAnswer, true},
-        LastPaceCase{"halt_not_sent", kNearTarget, 0, OrderOutcome::kNotSent, true},
-        LastPaceCase{"halt_refused", kNearTarget, 0, OrderOutcome::kRefused, true},
-        LastPaceCase{"halt_late_at_a_carrier", kNearTarget, 0, OrderOutcome::kTooLate, true},
-        LastPaceCase{"full_speed", kFarBelow, 100, OrderOutcome::kDone, false},
-        LastPaceCase{"full_speed_unanswered", kFarBelow, 100, OrderOutcome::kNoAnswer, true}),
+        LastSpeedCase{"halted", kNearTarget, 0, OrderOutcome::kDone, false},
+        LastSpeedCase{"halt_unanswered", kNearTarget, 0, OrderOutcome::kNoAnswer, true},
+        LastSpeedCase{"halt_not_sent", kNearTarget, 0, OrderOutcome::kNotSent, true},
+        LastSpeedCase{"halt_refused", kNearTarget, 0, OrderOutcome::kRefused, true},
+        LastSpeedCase{"halt_late_at_a_carrier", kNearTarget, 0, OrderOutcome::kTooLate, true},
+        LastSpeedCase{"full_speed", kFarBelow, 100, OrderOutcome::kDone, false},
+        LastSpeedCase{"full_speed_unanswered", kFarBelow, 100, OrderOutcome::kNoAnswer, true}),
     [](const auto& info) { return info.param.name; });
 
-/// What a successor hears first of the serving task.
-struct FirstLookCase {
+/// The first response time of the serving task that a successor receives.
+struct FirstReportCase {
   const char* name;
   std::int64_t response_ms;
-  std::vector<int> paces;
+  std::vector<int> speeds;
 };
 
-/// Guards against a successor that takes a filler for working at full speed, which its predecessor
-/// had slowed down or halted.
-class PaceOfAPredecessor : public ::testing::TestWithParam<FirstLookCase> {};
+/// Guards against a successor that assumes full speed for a filler that its predecessor had slowed
+/// down or halted.
+class SpeedSetByAPredecessor : public ::testing::TestWithParam<FirstReportCase> {};
 
-TEST_P(PaceOfAPredecessor, IsNotKnown) {
-  PacedWorld before;
+TEST_P(SpeedSetByAPredecessor, IsUnknown) {
+  ThrottledWorld before;
   before.Start();
-  PacedWorld after(2);
+  ThrottledWorld after(2);
   after.starts = before.starts;
   after.AddJobs();
   for (const auto& [id, text] : before.world.stored) {
     after.world.scheduler.RestoreProgress(id, *DecodeProgress(text));
   }
   after.world.scheduler.SetEndpoints(before.world.endpoints, after.world.now);
-  std::vector<int> paces;
-  for (const ThrottleOrder& order : after.Hear(GetParam().response_ms)) {
+  std::vector<int> speeds;
+  for (const ThrottleOrder& order : after.Report(GetParam().response_ms)) {
     EXPECT_EQ(order.task.job, JobId{2});
-    paces.push_back(order.percent);
+    speeds.push_back(order.percent);
   }
-  EXPECT_EQ(paces, GetParam().paces);
+  EXPECT_EQ(speeds, GetParam().speeds);
 }
 
-INSTANTIATE_TEST_SUITE_P(Looks, PaceOfAPredecessor,
-                         ::testing::Values(FirstLookCase{"far_below_the_target", kFarBelow, {100}},
-                                           // Whatever the pace is, it is right.
-                                           FirstLookCase{"between", kBetween, {}},
-                                           FirstLookCase{"near_the_target", kNearTarget, {50}}),
-                         [](const auto& info) { return info.param.name; });
+INSTANTIATE_TEST_SUITE_P(
+    Reports, SpeedSetByAPredecessor,
+    ::testing::Values(FirstReportCase{"far_below_the_target", kFarBelow, {100}},
+                      // In the steady state, any speed is kept.
+                      FirstReportCase{"between", kBetween, {}},
+                      FirstReportCase{"near_the_target", kNearTarget, {50}}),
+    [](const auto& info) { return info.param.name; });
 
 }  // namespace
 }  // namespace chervilspar::jobs
--- a/tests/jobs/interim_leases_test.cc
+++ b/tests/jobs/interim_leases_test.cc
@@ -13,10 +13,10 @@
 constexpr std::uint64_t kToken = 5;
 constexpr std::int64_t kClockMs = 70000;
 
-/// A successor that knows the endpoints "a" and "b" and no job.
-class Interim : public ::testing::Test {
+/// A successor that knows the endpoints "a" and "b" but no jobs.
+class InterimLeasesTest : public ::testing::Test {
  protected:
-  Interim() {
+  InterimLeasesTest() {
     this->leases.SetEndpoints({World::Endpoint("a"), World::Endpoint("b")});
     this->leases.SetProof(this->now);
   }
@@ -36,12 +36,12 @@
   TimePoint now = TimePoint{} + std::chrono::hours(1);
 };
 
-/// What runs lapses before the jobs are read. An end that is confirmed before its job is known is
-/// lost, and so is what a look waits for.
-TEST_F(Interim, LooksEverywhereAndRenewsWhereSomethingRuns) {
-  const std::vector<RenewalOrder> looks = this->leases.Plan(this->now);
-  ASSERT_EQ(looks.size(), 2U);
-  EXPECT_EQ(looks[0].lease_end_ms, std::nullopt) << "its clock isn't known";
+/// Without renewals, the active runs would lapse before the jobs are read. An end must not be
+/// confirmed before its job is known, as it would be lost, and a request must not wait for an end.
+TEST_F(InterimLeasesTest, PollsAllEndpointsAndRenewsThoseWithRuns) {
+  const std::vector<RenewalOrder> requests = this->leases.Plan(this->now);
+  ASSERT_EQ(requests.size(), 2U);
+  EXPECT_EQ(requests[0].lease_end_ms, std::nullopt) << "its clock is unknown";
   EXPECT_FALSE(this->leases.IsPollDone());
   this->leases.OnAnswered("a", Report(true), this->now);
   this->leases.OnAnswered("b", Report(false), this->now);
@@ -58,8 +58,8 @@
   EXPECT_EQ(this->leases.LeaseEnds(), ends);
 }
 
-/// Renewals are under way or were just answered: more of them only fill the link.
-TEST_F(Interim, RenewsAFewTimesInALease) {
+/// Further renewals while one is pending or was just answered would only load the link.
+TEST_F(InterimLeasesTest, RenewsAFewTimesInALease) {
   this->leases.Plan(this->now);
   this->leases.OnAnswered("a", Report(true), this->now);
   this->leases.OnAnswered("b", Report(false), this->now);
@@ -70,19 +70,19 @@
   EXPECT_EQ(this->leases.Plan(this->now + milliseconds(1000)).size(), 1U);
 }
 
-/// A look got no answer.
-TEST_F(Interim, AsksAgain) {
+/// A status request got no answer.
+TEST_F(InterimLeasesTest, RepeatsAnUnansweredRequest) {
   this->leases.Plan(this->now);
   this->leases.OnAnswered("a", std::nullopt, this->now);
   EXPECT_TRUE(this->leases.Plan(this->now + milliseconds(100)).empty());
-  const std::vector<RenewalOrder> looks = this->leases.Plan(this->now + milliseconds(300));
-  ASSERT_EQ(looks.size(), 1U);
-  EXPECT_EQ(looks[0].endpoint, "a");
+  const std::vector<RenewalOrder> requests = this->leases.Plan(this->now + milliseconds(300));
+  ASSERT_EQ(requests.size(), 1U);
+  EXPECT_EQ(requests[0].endpoint, "a");
 }
 
-/// The entry is cut off from the store while it reads. Its successor counts on no renewal that is
-/// later than the last proof by more than the grace.
-TEST_F(Interim, RenewsNothingWithoutProof) {
+/// The entry is partitioned from the store while it reads. Its successor relies on no renewal being
+/// later than the last proof plus `predecessor_grace`.
+TEST_F(InterimLeasesTest, RenewsNothingWithoutProof) {
   this->leases.Plan(this->now);
   this->leases.OnAnswered("a", Report(true), this->now);
   this->now += this->options.predecessor_grace;
--- a/tests/jobs/lapse_notice_test.cc
+++ b/tests/jobs/lapse_notice_test.cc
@@ -13,8 +13,8 @@
 using std::chrono::seconds;
 using World = SchedulerWorld;
 
-/// Owners that follow one another in one store, each with the next token. An endpoint has fallen
-/// silent with a task on it.
+/// Successive owners with one store and increasing tokens. An endpoint with a task has become
+/// unresponsive.
 class Owners {
  public:
   Owners() : world(std::make_unique<World>()) {
@@ -22,15 +22,15 @@
     this->world->scheduler.AddJob(this->job, WallTime{});
     this->start = this->world->StartAll().at(0);
     this->other = this->start.endpoint == "a" ? "b" : "a";
-    this->began = this->world->now;
+    this->unresponsive_since = this->world->now;
   }
 
-  /// A successor that knows what is stored, `skipped` claims after its predecessor's.
+  /// Replaces the owner by a successor that reads the store; `skipped` owners came in between.
   void Succeed(std::uint64_t skipped = 0) {
     this->token += 1 + skipped;
     const TimePoint passed = TimePoint{} + (this->world->now - TimePoint{});
     auto next = std::make_unique<World>(SchedulerOptions{}, this->token);
-    // Each scheduler begins at the zero of its own time.
+    // Each scheduler starts at zero of its own clock.
     this->offset += passed - TimePoint{};
     next->now = TimePoint{} + milliseconds(1);
     next->stored = this->world->stored;
@@ -46,11 +46,11 @@
     this->world = std::move(next);
   }
 
-  /// The silent endpoint answers nothing for so long, the other one answers all. Ends with the
-  /// first start.
-  std::vector<StartOrder> Live(Duration span) {
+  /// Runs the owner for `duration`, while one endpoint is unresponsive and the other one answers
+  /// everything. Returns after the round with the first starts.
+  std::vector<StartOrder> RunFor(Duration duration) {
     std::vector<StartOrder> starts;
-    const TimePoint end = this->world->now + span;
+    const TimePoint end = this->world->now + duration;
     while (this->world->now < end && starts.empty()) {
       this->world->scheduler.SetProof(this->world->now);
       this->world->Hold(this->other, {}, {});
@@ -68,13 +68,13 @@
     return starts;
   }
 
-  /// The endpoint answers again.
-  void Return(std::vector<ActiveRun> active) {
+  /// The unresponsive endpoint answers again.
+  void Recover(std::vector<ActiveRun> active) {
     this->world->scheduler.SetProof(this->world->now);
     this->world->Hold(this->start.endpoint, std::move(active), {});
   }
 
-  /// Over all owners.
+  /// The time on a clock that all owners share.
   TimePoint Now() const { return this->world->now + this->offset; }
 
   Job job = World::MakeJob(1, {World::MakeStep(1)});
@@ -83,91 +83,93 @@
   Duration offset{};
   StartOrder start;
   std::string other;
-  TimePoint began{};
-  /// When a renewal was last allowed at the silent endpoint.
+  TimePoint unresponsive_since{};
+  /// When a renewal was last allowed on the unresponsive endpoint.
   TimePoint renewed{};
 };
 
 struct OwnersCase {
   const char* name;
-  /// How long each owner but the last lives.
+  /// The length of each owner's term except the last.
   Duration term;
   int owners;
 };
 
-class SilentEndpoint : public ::testing::TestWithParam<OwnersCase> {};
+class UnresponsiveEndpoint : public ::testing::TestWithParam<OwnersCase> {};
 
-/// Guards against work that is not given up on a dark endpoint, as each new owner waits anew for
-/// leases that nobody renews.
-TEST_P(SilentEndpoint, IsGivenUpInOneWaitHoweverOftenTheOwnerChanges) {
+/// Guards against runs on an unreachable endpoint that are never abandoned, because each new owner
+/// waits again for leases that nobody renews.
+TEST_P(UnresponsiveEndpoint, IsAbandonedAfterOneWaitHoweverOftenTheOwnerChanges) {
   Owners owners;
   const SchedulerOptions options;
   std::vector<StartOrder> starts;
   for (int i = 0; i < GetParam().owners && starts.empty(); ++i) {
-    starts = owners.Live(GetParam().term);
+    starts = owners.RunFor(GetParam().term);
     if (starts.empty()) {
       owners.Succeed();
     }
   }
   if (starts.empty()) {
-    starts = owners.Live(options.predecessor_grace + options.LongestLease());
+    starts = owners.RunFor(options.predecessor_grace + options.LongestLease());
   }
   ASSERT_EQ(starts.size(), 1U);
   EXPECT_EQ(starts[0].endpoint, owners.other);
-  // One wait for a predecessor, and for each change the pause until a silence is noticed.
+  // One wait for a predecessor, and for each change of owner the time until a notice is made.
   const Duration wait = options.predecessor_grace + options.LongestLease();
   const Duration notice = options.silence + seconds(1);
-  EXPECT_LT(owners.Now() - owners.began, wait + GetParam().owners * notice);
-  EXPECT_GT(owners.Now() - owners.renewed, options.lease) << "while its lease may last";
+  EXPECT_LT(owners.Now() - owners.unresponsive_since, wait + GetParam().owners * notice);
+  EXPECT_GT(owners.Now() - owners.renewed, options.lease) << "its lease may still be valid";
 }
 
-INSTANTIATE_TEST_SUITE_P(Changes, SilentEndpoint,
+INSTANTIATE_TEST_SUITE_P(Changes, UnresponsiveEndpoint,
                          ::testing::Values(OwnersCase{"one", seconds(3), 1},
                                            OwnersCase{"three", seconds(3), 3},
                                            OwnersCase{"three_long", seconds(5), 3},
                                            OwnersCase{"six", seconds(3), 6}),
                          [](const auto& info) { return info.param.name; });
 
-/// Guards against a task that is started beside itself: an owner that left no notice of its own
-/// came between, and may have renewed.
-TEST(LapseNotice, CountsOnlyFromTheOwnerBefore) {
+/// Guards against a task that runs twice: an owner in between made no notice and may have renewed
+/// the leases.
+TEST(LapseNotice, CountsOnlyFromTheDirectPredecessor) {
   Owners owners;
   const SchedulerOptions options;
-  EXPECT_TRUE(owners.Live(seconds(3)).empty());
+  EXPECT_TRUE(owners.RunFor(seconds(3)).empty());
   owners.Succeed(1);
-  EXPECT_TRUE(owners.Live(options.predecessor_grace + options.lease).empty());
-  EXPECT_EQ(owners.Live(seconds(1)).size(), 1U);
+  EXPECT_TRUE(owners.RunFor(options.predecessor_grace + options.lease).empty());
+  EXPECT_EQ(owners.RunFor(seconds(1)).size(), 1U);
 }
 
-/// Guards against the same: the endpoint answers again, and the notice is still stored.
-TEST(LapseNotice, IsDroppedBeforeAnythingIsRenewed) {
+/// Guards against a task that runs twice: the endpoint answers again while the notice is still
+/// stored.
+TEST(LapseNotice, IsDeletedBeforeLeasesAreRenewed) {
   Owners owners;
-  owners.Live(seconds(2));
+  owners.RunFor(seconds(2));
   ASSERT_EQ(owners.world->lapses.size(), 1U);
-  const std::string silent = owners.start.endpoint;
-  owners.Return({World::Active(owners.start)});
-  EXPECT_FALSE(owners.world->scheduler.PlanHold(silent, owners.world->now).order.lease_end_ms);
+  const std::string unresponsive = owners.start.endpoint;
+  owners.Recover({World::Active(owners.start)});
+  EXPECT_FALSE(
+      owners.world->scheduler.PlanHold(unresponsive, owners.world->now).order.lease_end_ms);
   owners.world->scheduler.AddJob(World::MakeJob(2, {World::MakeStep(12)}), WallTime{});
   for (const StartOrder& order : owners.world->Round().starts) {
-    EXPECT_NE(order.endpoint, silent);
+    EXPECT_NE(order.endpoint, unresponsive);
   }
   owners.world->Pass(milliseconds(30));
   owners.world->Round();
   EXPECT_TRUE(owners.world->lapses.empty());
   owners.world->scheduler.SetProof(owners.world->now);
-  EXPECT_TRUE(owners.world->scheduler.PlanHold(silent, owners.world->now).order.lease_end_ms);
+  EXPECT_TRUE(owners.world->scheduler.PlanHold(unresponsive, owners.world->now).order.lease_end_ms);
 }
 
-/// Guards against a notice that stays when its endpoint is gone, and is taken for one about the
-/// next that has its id.
-TEST(LapseNotice, GoesWithItsEndpoint) {
+/// Guards against a notice that outlives its endpoint and is applied to the next endpoint with the
+/// same id.
+TEST(LapseNotice, IsDeletedWithItsEndpoint) {
   Owners owners;
-  owners.Live(seconds(2));
+  owners.RunFor(seconds(2));
   ASSERT_EQ(owners.world->lapses.size(), 1U);
   owners.world->scheduler.SetEndpoints({World::Endpoint(owners.other)}, owners.world->now);
-  owners.Live(SchedulerOptions{}.LongestLease());
+  owners.RunFor(SchedulerOptions{}.LongestLease());
   owners.world->scheduler.SetEndpoints({World::Endpoint(owners.other)}, owners.world->now);
-  owners.Live(milliseconds(200));
+  owners.RunFor(milliseconds(200));
   EXPECT_TRUE(owners.world->lapses.empty());
 }
 
@@ -179,8 +181,9 @@
 
 class UnreadableNotice : public ::testing::TestWithParam<BadNotice> {};
 
-/// Guards against a record that stops a take-over, or whose fault can't be found.
-TEST_P(UnreadableNotice, IsRefusedByItsField) {
+/// Guards against an invalid record that blocks a take-over, or an error that doesn't name the
+/// field.
+TEST_P(UnreadableNotice, IsRejectedNamingTheField) {
   const Result<LapseNotice> read = DecodeLapseNotice(GetParam().text);
   ASSERT_FALSE(read);
   EXPECT_EQ(read.LastReason().field, GetParam().field);
--- a/tests/jobs/lease_clock_test.cc
+++ b/tests/jobs/lease_clock_test.cc
@@ -8,11 +8,11 @@
 using World = SchedulerWorld;
 using Seconds = std::chrono::duration<double>;
 
-/// The slowest clock that an endpoint may have.
+/// The rate of the slowest clock that an endpoint may have.
 constexpr double kSlowest = 0.98;
 
-/// Guards against a lease that outlives our reckoning, as it was reckoned from a reading of the
-/// endpoint's clock that is old: what runs under it would be started elsewhere beside it.
+/// Guards against a lease that lasts longer than the owner assumes, because it was computed from an
+/// old reading of the endpoint's clock: its runs would be started elsewhere while they are active.
 class IdleEndpoint : public ::testing::TestWithParam<int> {
  protected:
   IdleEndpoint() {
@@ -21,8 +21,8 @@
     this->world.Pass(std::chrono::seconds(GetParam()));
   }
 
-  /// How long a lease lasts from now on by our clock, if the endpoint's is as slow as may be.
-  Duration LeaseUntil(std::int64_t end_ms) const {
+  /// How long a lease lasts from now on the owner's clock if the endpoint's clock is the slowest.
+  Duration LeaseDuration(std::int64_t end_ms) const {
     const Duration passed = this->world.now - this->read;
     const auto clock =
         this->read.time_since_epoch() + std::chrono::duration_cast<Duration>(passed * kSlowest);
@@ -39,19 +39,20 @@
   this->world.scheduler.SetProof(this->world.now);
   this->world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), WallTime{});
   const StartOrder start = this->world.Round().starts.at(0);
-  EXPECT_LE(this->LeaseUntil(start.lease_end_ms), longest);
-  EXPECT_GE(this->LeaseUntil(start.lease_end_ms), std::chrono::seconds(2)) << "it has to begin";
+  EXPECT_LE(this->LeaseDuration(start.lease_end_ms), longest);
+  EXPECT_GE(this->LeaseDuration(start.lease_end_ms), std::chrono::seconds(2))
+      << "the run needs time to start";
   this->world.scheduler.OnStartAnswered(start, OrderOutcome::kDone, this->world.now);
   const HoldPlan plan = this->world.scheduler.PlanHold("a", this->world.now);
   ASSERT_TRUE(plan.order.lease_end_ms);
-  EXPECT_LE(this->LeaseUntil(*plan.order.lease_end_ms), longest);
+  EXPECT_LE(this->LeaseDuration(*plan.order.lease_end_ms), longest);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seconds, IdleEndpoint, ::testing::Values(0, 1, 10, 20, 40, 59));
 
-/// Guards against an endpoint whose clock was read so long ago that no lease can be reckoned from
-/// it. Each look is priced, so that there are few.
-TEST(IdleEndpoints, TellTheirClocksOnceAMinute) {
+/// Guards against a reading of an endpoint's clock so old that no lease can be computed from it.
+/// Each status request costs money, so there are few.
+TEST(IdleEndpoints, ReportTheirClocksOnceAMinute) {
   World world;
   world.Register({World::Endpoint("a")});
   world.Pass(std::chrono::seconds(59));
--- a/tests/jobs/run_races_test.cc
+++ b/tests/jobs/run_races_test.cc
@@ -12,8 +12,8 @@
 
 WallTime Wall(const World& world) { return WallTime(world.now.time_since_epoch()); }
 
-/// A process that was killed between an order and its record would leave a run that nobody knows.
-/// The caller would see a charge twice. So no start leaves before its placement is stored.
+/// A process that is killed between a start and its record would leave an unknown run, and the
+/// caller would be charged twice. Therefore no start is sent before its placement is stored.
 TEST(RunRaces, NothingStartsBeforeItsRecordIsStored) {
   World world;
   world.Register({World::Endpoint("a")});
@@ -27,9 +27,9 @@
   EXPECT_EQ(stored->rows.front().progress.endpoint, "a");
 }
 
-/// The answer to a start is lost and the endpoint carries the order out eight seconds later. If
-/// the task were started elsewhere in the meantime, it would run twice.
-TEST(RunRaces, LostStartIsSettledBeforeTheTaskRunsElsewhere) {
+/// The answer to a start is lost, and the endpoint executes the order 8 s later. If the task were
+/// started elsewhere in the meantime, it would run twice.
+TEST(RunRaces, AnUnansweredStartIsStoppedBeforeTheTaskRunsElsewhere) {
   World world;
   world.Register({World::Endpoint("a"), World::Endpoint("b")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
@@ -38,7 +38,7 @@
   world.Pass(milliseconds(200));
   const Orders again = world.Round();
   ASSERT_EQ(again.starts.size(), 1U);
-  EXPECT_EQ(again.starts.at(0).run, first.run) << "the same run, so that it can't run twice";
+  EXPECT_EQ(again.starts.at(0).run, first.run) << "the same run number, so that it can't run twice";
   EXPECT_EQ(again.starts.at(0).endpoint, first.endpoint);
   world.scheduler.OnStartAnswered(again.starts.at(0), OrderOutcome::kNoAnswer, world.now);
   world.Pass(milliseconds(200));
@@ -47,7 +47,7 @@
   ASSERT_EQ(stop.stops.size(), 1U);
   world.Hold(first.endpoint, {}, {});
   EXPECT_TRUE(world.Round().starts.empty())
-      << "the stop has no answer yet; the order may still run";
+      << "the stop is unanswered; the start may still be executed";
   world.scheduler.OnStopAnswered(stop.stops.at(0), OrderOutcome::kDone, world.now);
   world.Pass(milliseconds(1));
   world.Hold(first.endpoint, {}, {});
@@ -56,7 +56,7 @@
   EXPECT_GT(next.starts.at(0).run, first.run);
 }
 
-/// Two tasks that serve users, of which one may be away, and whose starts get no answer.
+/// Two tasks that serve users, of which one may be unavailable, and whose starts get no answer.
 class UnansweredServing : public ::testing::Test {
  protected:
   UnansweredServing() {
@@ -76,10 +76,10 @@
     }
   }
 
-  /// The endpoint of a start shows its run at work, or nothing.
-  void Look(std::size_t start, bool is_shown) {
+  /// The endpoint of a start reports its run as ready, or no runs.
+  void Poll(std::size_t start, bool is_active) {
     std::vector<ActiveRun> active;
-    if (is_shown) {
+    if (is_active) {
       active.push_back(World::Active(this->starts[start]));
       active.back().percent = 100;
     }
@@ -91,21 +91,21 @@
   std::size_t stops = 0;
 };
 
-/// Guards against ending a task that serves users while its sibling is away: its start was answered
-/// late, and it had come to work.
-TEST_F(UnansweredServing, IsLookedForBeforeItIsStopped) {
+/// Guards against stopping a task that serves users while its sibling is unavailable: the answer to
+/// its start was late, and the task had become ready.
+TEST_F(UnansweredServing, IsPolledBeforeItIsStopped) {
   ASSERT_EQ(this->starts.size(), 2U);
   EXPECT_EQ(this->stops, 0U);
-  this->Look(0, true);
-  this->Look(1, false);
+  this->Poll(0, true);
+  this->Poll(1, false);
   const Orders orders = this->world.Round();
   ASSERT_EQ(orders.stops.size(), 1U);
   EXPECT_EQ(orders.stops[0].endpoint, this->starts[1].endpoint);
 }
 
-/// An end is confirmed to the endpoint, which then forgets it, while the record of it is lost with
-/// the process. The successor would run a finished task again.
-TEST(RunRaces, EndsAreConfirmedAndShownOnlyAfterTheyAreStored) {
+/// If an end were confirmed before it is stored, the endpoint would drop it, and a crash of the
+/// owner would lose it. The successor would run a finished task again.
+TEST(RunRaces, EndsAreConfirmedAndReportedOnlyAfterTheyAreStored) {
   World world;
   world.Register({World::Endpoint("a")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
@@ -118,9 +118,9 @@
   EXPECT_EQ(world.scheduler.PlanHold("a", world.now).order.confirmed_end, 1U);
 }
 
-/// Endpoints tell an end again until it is confirmed. Counted twice, one failure would use up both
-/// attempts of a task and its job would be shown as failed without cause.
-TEST(RunRaces, AnEndThatIsToldAgainCountsOnce) {
+/// Endpoints repeat an end until it is confirmed. If one failure were counted twice, it would use
+/// up both attempts of a task, and its job would be reported as failed without cause.
+TEST(RunRaces, ARepeatedEndCountsOnce) {
   World world;
   world.Register({World::Endpoint("a"), World::Endpoint("b")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
@@ -135,8 +135,9 @@
   EXPECT_EQ(world.PhaseOf(1), JobPhase::kFailed);
 }
 
-/// An owner freezes, another takes over, and the first wakes with orders in hand. An endpoint that
-/// has seen the higher token refuses; going on would disturb what the successor does.
+/// An owner is suspended, another takes over, and the first resumes with pending orders. An
+/// endpoint that has seen the higher token refuses them, and the first owner must not interfere
+/// with its successor.
 TEST(RunRaces, AHigherTokenEndsTheTerm) {
   struct Case {
     const char* name;
@@ -168,18 +169,19 @@
   }
 }
 
-/// An endpoint crashes and comes back under the same id: it runs nothing and counts its ends from
-/// one again. Its former life's work must go elsewhere at once, and its new ends must be heard.
-TEST(RunRaces, ANewLifeOfAnEndpointRunsNothingOfTheFormer) {
+/// An endpoint crashes and restarts with the same id: it has no runs and numbers its ends from 1
+/// again. The runs of its former incarnation must be placed again at once, and the new ends must be
+/// processed.
+TEST(RunRaces, ARestartedEndpointRunsNothingOfItsFormerIncarnation) {
   World world;
   world.Register({World::Endpoint("a")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(2)}), Wall(world));
   const std::vector<StartOrder> first = world.StartAll();
   world.Hold("a", {World::Active(first[1])}, {World::Ended(1, first[0], RunEnd::kDone)});
   world.Store();
-  EndpointRecord reborn = World::Endpoint("a");
-  reborn.born_ms = 2;
-  world.scheduler.SetEndpoints({reborn}, world.now);
+  EndpointRecord restarted = World::Endpoint("a");
+  restarted.born_ms = 2;
+  world.scheduler.SetEndpoints({restarted}, world.now);
   world.Hold("a", {}, {}, 2);
   const std::vector<StartOrder> second = world.StartAll();
   ASSERT_EQ(second.size(), 1U) << "only what had not ended";
@@ -189,17 +191,18 @@
   EXPECT_EQ(world.PhaseOf(1), JobPhase::kComplete);
 }
 
-/// What became of the orders to start and to stop a run before its endpoint started anew.
-struct OpenStartCase {
+/// What happened to the orders to start and to stop a run before its endpoint restarted.
+struct UnansweredStartCase {
   const char* name;
   std::function<void(World&, const StartOrder&)> happen;
 };
 
-/// Guards against starting a task elsewhere while its first start, which got no answer, may still
-/// arrive at the new life of its endpoint: a stop that the former life took doesn't hold it back.
-class OpenStarts : public ::testing::TestWithParam<OpenStartCase> {};
+/// Guards against starting a task elsewhere while its unanswered first start may still arrive at
+/// the new incarnation of its endpoint: a stop that the former incarnation executed doesn't prevent
+/// that.
+class UnansweredStarts : public ::testing::TestWithParam<UnansweredStartCase> {};
 
-TEST_P(OpenStarts, AreSettledInTheNewLife) {
+TEST_P(UnansweredStarts, AreStoppedInTheNewIncarnation) {
   World world;
   world.Register({World::Endpoint("a")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
@@ -229,31 +232,31 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    RunRaces, OpenStarts,
-    ::testing::Values(OpenStartCase{"under_way", [](World&, const StartOrder&) {}},
-                      OpenStartCase{"unanswered",
-                                    [](World& world, const StartOrder& start) {
-                                      world.scheduler.OnStartAnswered(
-                                          start, OrderOutcome::kNoAnswer, world.now);
-                                    }},
-                      OpenStartCase{"unanswered_and_being_stopped",
-                                    [](World& world, const StartOrder& start) {
-                                      ASSERT_EQ(LoseAnswers(world, start).size(), 1U);
-                                    }},
-                      OpenStartCase{"unanswered_and_its_stop_answered",
-                                    [](World& world, const StartOrder& start) {
-                                      const std::vector<StopOrder> stops =
-                                          LoseAnswers(world, start);
-                                      ASSERT_EQ(stops.size(), 1U);
-                                      world.scheduler.OnStopAnswered(stops[0], OrderOutcome::kDone,
-                                                                     world.now);
-                                    }}),
+    RunRaces, UnansweredStarts,
+    ::testing::Values(UnansweredStartCase{"under_way", [](World&, const StartOrder&) {}},
+                      UnansweredStartCase{"unanswered",
+                                          [](World& world, const StartOrder& start) {
+                                            world.scheduler.OnStartAnswered(
+                                                start, OrderOutcome::kNoAnswer, world.now);
+                                          }},
+                      UnansweredStartCase{"unanswered_and_being_stopped",
+                                          [](World& world, const StartOrder& start) {
+                                            ASSERT_EQ(LoseAnswers(world, start).size(), 1U);
+                                          }},
+                      UnansweredStartCase{"unanswered_and_its_stop_answered",
+                                          [](World& world, const StartOrder& start) {
+                                            const std::vector<StopOrder> stops =
+                                                LoseAnswers(world, start);
+                                            ASSERT_EQ(stops.size(), 1U);
+                                            world.scheduler.OnStopAnswered(
+                                                stops[0], OrderOutcome::kDone, world.now);
+                                          }}),
     [](const auto& info) { return info.param.name; });
 
-/// An endpoint starts anew and numbers its ends from 1 again. A confirmation of its former life's
-/// ends would make the new life forget ends that nobody has heard of, and finished tasks would run
-/// again. So ends are confirmed once, and only right after the endpoint has told them.
-TEST(RunRaces, EndsAreConfirmedOnlyToTheLifeThatToldThem) {
+/// A restarted endpoint numbers its ends from 1 again. A confirmation of its former incarnation's
+/// ends would make it drop ends that were never received, and finished tasks would run again.
+/// Therefore ends are confirmed once, and only right after the endpoint has reported them.
+TEST(RunRaces, EndsAreConfirmedOnlyToTheIncarnationThatReportedThem) {
   World world;
   world.Register({World::Endpoint("a")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(2)}), Wall(world));
@@ -263,7 +266,7 @@
   EXPECT_EQ(world.scheduler.PlanHold("a", world.now).order.confirmed_end, 1U);
   world.scheduler.OnHoldFailed("a", OrderOutcome::kNoAnswer, world.now);
   EXPECT_EQ(world.scheduler.PlanHold("a", world.now).order.confirmed_end, 0U)
-      << "it may have started anew";
+      << "it may have restarted";
   world.Hold("a", {World::Active(starts[1])}, {World::Ended(1, starts[0], RunEnd::kDone)});
   EXPECT_EQ(world.scheduler.PlanHold("a", world.now).order.confirmed_end, 1U);
   world.Hold("a", {World::Active(starts[1])}, {});
@@ -271,38 +274,38 @@
       << "there is nothing left to confirm";
 }
 
-struct RebirthCase {
+struct RestartCase {
   const char* name;
-  /// What came of the start, and what the new life says of the run.
+  /// The outcome of the start, and what the new incarnation reports about the run.
   OrderOutcome answer;
   bool is_active;
   bool is_done;
-  /// The task is started once more, elsewhere or there.
+  /// The task is started again, on this or another endpoint.
   bool is_started_again;
-  /// What callers are told then.
+  /// The phase that callers see afterwards.
   JobPhase phase;
 };
 
-class Rebirths : public ::testing::TestWithParam<RebirthCase> {};
+class Restarts : public ::testing::TestWithParam<RestartCase> {};
 
-/// An endpoint starts anew and takes a task before anybody has heard of its new life. When the
-/// registry tells of it, the task must not be taken for one that went with the former life: it
-/// would run twice at once, and a deposit would be charged twice.
-TEST_P(Rebirths, ATaskThatTheNewLifeTookRunsOnce) {
+/// An endpoint restarts and starts a task before the owner learns of the new incarnation. When the
+/// registry reports it, the task must not be treated as lost with the former incarnation: it would
+/// run twice at the same time, and a deposit would be charged twice.
+TEST_P(Restarts, ATaskOfTheNewIncarnationRunsOnce) {
   World world;
   world.Register({World::Endpoint("a")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
   const StartOrder start = world.Round().starts.at(0);
   world.scheduler.OnStartAnswered(start, GetParam().answer, world.now);
-  EndpointRecord reborn = World::Endpoint("a");
-  reborn.born_ms = 2;
-  world.scheduler.SetEndpoints({reborn, World::Endpoint("b")}, world.now);
+  EndpointRecord restarted = World::Endpoint("a");
+  restarted.born_ms = 2;
+  world.scheduler.SetEndpoints({restarted, World::Endpoint("b")}, world.now);
   world.Hold("b", {}, {});
-  EXPECT_TRUE(world.Round().starts.empty()) << "the new life may run it";
+  EXPECT_TRUE(world.Round().starts.empty()) << "the new incarnation may run it";
   const std::vector<ActiveRun> active = {World::Active(start)};
   const std::vector<EndedRun> ended = {World::Ended(1, start, RunEnd::kDone)};
   EXPECT_FALSE(world.scheduler.PlanHold("a", world.now).order.lease_end_ms)
-      << "the former life's clock says nothing of the new one's";
+      << "the clock of the former incarnation doesn't apply to the new one";
   world.Hold("a", GetParam().is_active ? active : std::vector<ActiveRun>{},
              GetParam().is_done ? ended : std::vector<EndedRun>{}, 2);
   const Orders next = world.Round();
@@ -311,23 +314,23 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    RunRaces, Rebirths,
-    ::testing::Values(RebirthCase{"answered_and_at_work", OrderOutcome::kDone, true, false, false,
+    RunRaces, Restarts,
+    ::testing::Values(RestartCase{"answered_and_at_work", OrderOutcome::kDone, true, false, false,
                                   JobPhase::kRunning},
-                      RebirthCase{"answered_and_done", OrderOutcome::kDone, false, true, false,
+                      RestartCase{"answered_and_done", OrderOutcome::kDone, false, true, false,
                                   JobPhase::kComplete},
-                      RebirthCase{"answered_by_the_former_life", OrderOutcome::kDone, false, false,
-                                  true, JobPhase::kRunning},
-                      RebirthCase{"unanswered_and_at_work", OrderOutcome::kNoAnswer, true, false,
+                      RestartCase{"answered_by_the_former_incarnation", OrderOutcome::kDone, false,
+                                  false, true, JobPhase::kRunning},
+                      RestartCase{"unanswered_and_at_work", OrderOutcome::kNoAnswer, true, false,
                                   false, JobPhase::kRunning},
-                      // It may still be on its way; a stop has to settle that first.
-                      RebirthCase{"unanswered_and_not_there", OrderOutcome::kNoAnswer, false, false,
+                      // The start may still be in flight, so a stop comes first.
+                      RestartCase{"unanswered_and_not_there", OrderOutcome::kNoAnswer, false, false,
                                   false, JobPhase::kQueued}),
     [](const auto& info) { return info.param.name; });
 
-/// An endpoint that can't be reached may work on until its leases lapse. Started elsewhere before
-/// that, a task would run twice; never started elsewhere, it would be lost.
-TEST(RunRaces, WorkOfASilentEndpointWaitsForItsLease) {
+/// The runs of an unreachable endpoint may continue until their leases lapse. A task that is
+/// started elsewhere earlier would run twice; one that is never started elsewhere would be lost.
+TEST(RunRaces, TasksOfAnUnresponsiveEndpointWaitForItsLeases) {
   World world;
   world.Register({World::Endpoint("a")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
@@ -338,26 +341,26 @@
   world.Pass(world.options.lease - milliseconds(100));
   EXPECT_TRUE(world.Round().starts.empty());
   EXPECT_FALSE(world.scheduler.PlanHold("a", world.now).order.lease_end_ms)
-      << "only a look: a renewal would keep the lost work alive";
+      << "only a status request: a renewal would keep the lost runs active";
   world.Pass(milliseconds(800));
   const Orders orders = world.Round();
   ASSERT_EQ(orders.starts.size(), 1U);
   EXPECT_EQ(orders.starts[0].endpoint, "b");
 }
 
-/// A cancellation that one entry accepted may be read before the submission that went through
-/// another. The job must not run after its caller was told that it is cancelled.
+/// A cancellation that one entry accepted may be read before the submission that another one
+/// accepted. The job must not run after its caller got the answer that it is cancelled.
 TEST(RunRaces, ACancellationMayComeBeforeItsJob) {
   World world;
   world.Register({World::Endpoint("a")});
   world.scheduler.CancelJob(JobId{1});
-  EXPECT_FALSE(world.scheduler.Find(JobId{1})) << "nobody has handed it in";
+  EXPECT_FALSE(world.scheduler.Find(JobId{1})) << "it has not been submitted";
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
   EXPECT_TRUE(world.Round().starts.empty());
   EXPECT_EQ(world.PhaseOf(1), JobPhase::kCancelled);
 }
 
-/// A caller cancels while the placement is being stored, and while a run is at work.
+/// A caller cancels a job while its placement is being stored, and another while it runs.
 TEST(RunRaces, ACancelledJobStartsNothingAndStopsWhatRuns) {
   World world;
   world.Register({World::Endpoint("a")});
@@ -376,7 +379,7 @@
 }
 
 /// Two copies of a submission reach the store through two entries.
-TEST(RunRaces, AJobHandedInTwiceRunsOnce) {
+TEST(RunRaces, AJobSubmittedTwiceRunsOnce) {
   World world;
   world.Register({World::Endpoint("a")});
   const Job job = World::MakeJob(1, {World::MakeStep(1)});
@@ -389,8 +392,8 @@
   EXPECT_TRUE(world.Round().starts.empty());
 }
 
-/// An operator lowers a team's limit below what it has running: that may end, and nothing new
-/// starts until there is room below the new limit.
+/// An operator lowers a team's limit below its current use: active runs continue, and nothing
+/// starts until the use is below the new limit.
 TEST(RunRaces, ALoweredLimitHoldsForNewStarts) {
   World world;
   world.Register({World::Endpoint("a")});
@@ -408,10 +411,10 @@
   EXPECT_EQ(world.Round().starts.size(), 1U);
 }
 
-/// A start is given twice, and the answer to the second try shows the run. When the endpoint starts
-/// anew, the first try may still be on its way there: started elsewhere at once, the task would run
-/// twice at the same time.
-TEST(RunRaces, ATryThatWasOvertakenMayComeInTheNextLife) {
+/// A start is sent twice, and the answer to the second try confirms the run. When the endpoint
+/// restarts, the first try may still be in flight: if the task were started elsewhere at once, it
+/// would run twice at the same time.
+TEST(RunRaces, ADelayedTryMayArriveAfterARestart) {
   World world;
   world.Register({World::Endpoint("a")});
   world.scheduler.AddJob(World::MakeJob(1, {World::MakeStep(1)}), Wall(world));
@@ -419,9 +422,9 @@
   world.Pass(SchedulerOptions{}.start_retry);
   const StartOrder second = world.Round().starts.at(0);
   world.scheduler.OnStartAnswered(second, OrderOutcome::kDone, world.now);
-  EndpointRecord reborn = World::Endpoint("a");
-  reborn.born_ms = 2;
-  world.scheduler.SetEndpoints({reborn, World::Endpoint("b")}, world.now);
+  EndpointRecord restarted = World::Endpoint("a");
+  restarted.born_ms = 2;
+  world.scheduler.SetEndpoints({restarted, World::Endpoint("b")}, world.now);
   world.Hold("b", {}, {});
   world.Hold("a", {}, {}, 2);
   EXPECT_TRUE(world.Round().starts.empty());
--- a/tests/jobs/zone_cordon_property_test.cc
+++ b/tests/jobs/zone_cordon_property_test.cc
@@ -13,8 +13,8 @@
 using std::chrono::milliseconds;
 using World = SchedulerWorld;
 
-/// Three zones of two endpoints each, whose answers come, come late or are lost, under owners that
-/// die. Watches what the owners send.
+/// Three zones of two endpoints each, whose answers arrive, are late or are lost, under owners that
+/// crash. Checks the orders that the owners send.
 class CordonModel {
  public:
   CordonModel() { this->TakeOver(); }
@@ -36,9 +36,8 @@
     this->world->scheduler.AddJob(this->jobs.back(), this->Wall());
   }
 
-  /// `fate`: of each start, whether it is carried out and answered, one without the other, or
-  /// neither.
-  void Round(int fate) {
+  /// `seed` determines for each start whether it is executed and whether it is answered.
+  void Round(int seed) {
     this->world->Pass(milliseconds(120));
     this->world->scheduler.SetProof(this->world->now);
     const Orders orders = this->world->Round();
@@ -46,22 +45,22 @@
       this->runs[stop.endpoint].erase({stop.task, stop.run});
       this->world->scheduler.OnStopAnswered(stop, OrderOutcome::kDone, this->world->now);
     }
-    int next = fate;
+    int next = seed;
     for (const StartOrder& start : orders.starts) {
       this->CheckStart(start);
-      const bool is_carried_out = next % 2 == 0;
+      const bool is_executed = next % 2 == 0;
       const bool is_answered = next % 3 != 0;
-      if (is_carried_out) {
+      if (is_executed) {
         this->runs[start.endpoint].insert({start.task, start.run});
       }
       this->world->scheduler.OnStartAnswered(
-          start, is_carried_out && is_answered ? OrderOutcome::kDone : OrderOutcome::kNoAnswer,
+          start, is_executed && is_answered ? OrderOutcome::kDone : OrderOutcome::kNoAnswer,
           this->world->now);
       ++next;
     }
   }
 
-  void Look(int endpoint) {
+  void Poll(int endpoint) {
     const std::string id = IdOf(endpoint % kEndpoints);
     std::vector<ActiveRun> active;
     for (const auto& [task, run] : this->runs[id]) {
@@ -93,7 +92,7 @@
     next->scheduler.SetCordonedZones(this->cordoned);
     this->world = std::move(next);
     for (int i = 0; i < kEndpoints; ++i) {
-      this->Look(i);
+      this->Poll(i);
     }
   }
 
@@ -124,8 +123,8 @@
   std::map<std::string, std::set<std::pair<TaskKey, std::uint64_t>>> runs;
 };
 
-/// Guards against a start in a cordoned zone, and a second run beside a first, whatever cordons,
-/// deaths of owners, late and lost answers come together.
+/// Guards against a start in a cordoned zone, and against a second active run of a task, under any
+/// combination of cordons, crashes of owners, late answers and lost answers.
 RC_GTEST_PROP(CordonProperty, NothingStartsInACordonedZoneOrTwice, ()) {
   CordonModel model;
   const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
@@ -146,7 +145,7 @@
       case 5:
       case 6:
       case 7:
-        model.Look(value);
+        model.Poll(value);
         break;
       default:
         model.Round(value);
--- a/tests/jobs/zone_cordon_test.cc
+++ b/tests/jobs/zone_cordon_test.cc
@@ -21,15 +21,15 @@
   const char* name;
   std::optional<Duration> bound;
   bool is_cordoned;
-  /// How old the proof is; nothing for none at all.
+  /// The age of the proof; nothing: there is no proof.
   std::optional<Duration> age;
   bool may_start;
 };
 
 class StartInZone : public ::testing::TestWithParam<StartCase> {};
 
-/// Guards against a start in a zone of which this process can't know that it is still open.
-TEST_P(StartInZone, NeedsAnOpenZoneAndYoungProof) {
+/// Guards against a start in a zone that this process can't prove to be still open.
+TEST_P(StartInZone, NeedsAnOpenZoneAndRecentProof) {
   ZoneCordon cordon(GetParam().bound);
   if (GetParam().is_cordoned) {
     EXPECT_TRUE(cordon.Add(kEast));
@@ -58,9 +58,9 @@
   bool covers_all;
 };
 
-class CordonOfAll : public ::testing::TestWithParam<CoverCase> {};
+class CordonOfAllZones : public ::testing::TestWithParam<CoverCase> {};
 
-TEST_P(CordonOfAll, IsToldFromOneOfSome) {
+TEST_P(CordonOfAllZones, DiffersFromACordonOfSome) {
   ZoneCordon cordon(std::nullopt);
   for (const ZoneId& zone : GetParam().cordoned) {
     cordon.Add(zone);
@@ -68,10 +68,10 @@
   EXPECT_EQ(cordon.CoversAll(GetParam().known), GetParam().covers_all);
 }
 
-INSTANTIATE_TEST_SUITE_P(Zones, CordonOfAll,
+INSTANTIATE_TEST_SUITE_P(Zones, CordonOfAllZones,
                          ::testing::Values(CoverCase{"one", {kEast}, {kEast, kWest}, false},
                                            CoverCase{"both", {kEast, kWest}, {kEast, kWest}, true},
-                                           CoverCase{"zones_not_known", {kEast}, {}, false}),
+                                           CoverCase{"unknown_zones", {kEast}, {}, false}),
                          [](const auto& info) { return info.param.name; });
 
 EndpointRecord EndpointIn(const ZoneId& zone, const std::string& id) {
@@ -80,13 +80,13 @@
   return record;
 }
 
-Step MakeLasting(std::uint32_t count, std::int64_t cpu) {
+Step MakeLongRunning(std::uint32_t count, std::int64_t cpu) {
   Step step = World::MakeStep(count, cpu);
   step.is_long_running = true;
   return step;
 }
 
-/// One endpoint in the zone that will be cordoned, one in another.
+/// One endpoint in the zone that will be cordoned and one in another zone.
 class TwoZones {
  public:
   explicit TwoZones(std::uint64_t token = 1) : world({}, token) {
@@ -99,9 +99,9 @@
                                  WallTime(this->world.now.time_since_epoch()));
   }
 
-  /// Both endpoints answer, with what they were given; starts from here on are carried out.
-  void Live(Duration span) {
-    const TimePoint end = this->world.now + span;
+  /// Runs the scheduler for `duration`. Both endpoints report their runs and execute all starts.
+  void RunFor(Duration duration) {
+    const TimePoint end = this->world.now + duration;
     while (this->world.now < end) {
       this->world.scheduler.SetProof(this->world.now);
       for (const char* id : {"e", "w"}) {
@@ -130,26 +130,26 @@
   std::vector<StopOrder> stops;
 };
 
-struct WayIn {
+struct StartPathCase {
   const char* name;
-  /// Comes up to the cordon and sets it.
+  /// Creates the situation and cordons the zone.
   std::function<void(TwoZones&)> prepare;
-  /// Starts that come at the other zone's endpoint afterwards.
+  /// Starts on the other zone's endpoint afterwards.
   int elsewhere;
 };
 
-class WaysIn : public ::testing::TestWithParam<WayIn> {};
+class StartPaths : public ::testing::TestWithParam<StartPathCase> {};
 
-/// Guards against work that still begins in a zone that operators evacuate.
-TEST_P(WaysIn, NothingStartsInACordonedZone) {
+/// Guards against starts in a zone that operators evacuate.
+TEST_P(StartPaths, NothingStartsInACordonedZone) {
   TwoZones zones;
   GetParam().prepare(zones);
-  zones.Live(seconds(7));
+  zones.RunFor(seconds(7));
   EXPECT_EQ(zones.StartsAt("e"), 0);
   EXPECT_EQ(zones.StartsAt("w"), GetParam().elsewhere);
 }
 
-/// A start at the eastern endpoint that gets this answer.
+/// Sends a start to the eastern endpoint, which answers with `outcome`.
 StartOrder StartInTheEast(TwoZones& zones, Step step, OrderOutcome outcome) {
   zones.Add(1, std::move(step));
   zones.world.scheduler.BeginEvacuation("w");
@@ -159,17 +159,17 @@
   return start;
 }
 
-void FailLasting(TwoZones& zones) {
-  const StartOrder start = StartInTheEast(zones, MakeLasting(1, 1000), OrderOutcome::kDone);
+void FailLongRunning(TwoZones& zones) {
+  const StartOrder start = StartInTheEast(zones, MakeLongRunning(1, 1000), OrderOutcome::kDone);
   zones.Cordon();
   zones.world.Hold("e", {}, {World::Ended(1, start, RunEnd::kFailed)});
 }
 
-/// The task that was at work in the west has to move, and there is room in the east.
-void EmptyTheOtherEndpoint(TwoZones& zones) {
+/// A ready task in the west has to move, and the east has free capacity.
+void EvacuateTheOtherEndpoint(TwoZones& zones) {
   zones.Cordon();
-  zones.Add(1, MakeLasting(1, 1000));
-  zones.Live(seconds(3));
+  zones.Add(1, MakeLongRunning(1, 1000));
+  zones.RunFor(seconds(3));
   zones.starts.clear();
   zones.world.scheduler.BeginEvacuation("w");
 }
@@ -183,107 +183,109 @@
 }
 
 void StartFiller(TwoZones& zones) {
-  Step filler = MakeLasting(1, 1000);
+  Step filler = MakeLongRunning(1, 1000);
   filler.is_filler = true;
   zones.Cordon();
   zones.Add(1, filler);
 }
 
-void BeginAnotherLife(TwoZones& zones) {
+void RestartTheEndpoint(TwoZones& zones) {
   zones.Cordon();
-  EndpointRecord reborn = EndpointIn(kEast, "e");
-  reborn.born_ms = 2;
-  zones.world.scheduler.SetEndpoints({reborn, EndpointIn(kWest, "w")}, zones.world.now);
+  EndpointRecord restarted = EndpointIn(kEast, "e");
+  restarted.born_ms = 2;
+  zones.world.scheduler.SetEndpoints({restarted, EndpointIn(kWest, "w")}, zones.world.now);
   zones.world.Hold("e", {}, {}, 2);
   zones.Add(1, World::MakeStep(4));
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Tasks, WaysIn,
-    ::testing::Values(WayIn{"first_try",
-                            [](TwoZones& zones) {
-                              zones.Cordon();
-                              zones.Add(1, World::MakeStep(4));
-                            },
-                            4},
-                      WayIn{"more_than_the_other_zone_holds",
-                            [](TwoZones& zones) {
-                              zones.Cordon();
-                              zones.Add(1, World::MakeStep(12));
-                            },
-                            8},
-                      WayIn{"placed_and_being_stored",
-                            [](TwoZones& zones) {
-                              zones.Add(1, World::MakeStep(8));
-                              zones.world.Decide();
-                              zones.Cordon();
-                            },
-                            8},
-                      WayIn{"second_try",
-                            [](TwoZones& zones) {
-                              StartInTheEast(zones, World::MakeStep(1), OrderOutcome::kNoAnswer);
-                              zones.Cordon();
-                            },
-                            1},
-                      WayIn{"refused_start",
-                            [](TwoZones& zones) {
-                              StartInTheEast(zones, World::MakeStep(1), OrderOutcome::kRefused);
-                              zones.Cordon();
-                            },
-                            1},
-                      WayIn{"lasting_task_that_failed", FailLasting, 1},
-                      WayIn{"lasting_task_that_has_to_move", EmptyTheOtherEndpoint, 0},
-                      WayIn{"gang", StartGangAcross, 0}, WayIn{"filler", StartFiller, 1},
-                      WayIn{"another_life_of_an_endpoint", BeginAnotherLife, 4}),
+    Tasks, StartPaths,
+    ::testing::Values(
+        StartPathCase{"first_try",
+                      [](TwoZones& zones) {
+                        zones.Cordon();
+                        zones.Add(1, World::MakeStep(4));
+                      },
+                      4},
+        StartPathCase{"more_than_fits_in_the_other_zone",
+                      [](TwoZones& zones) {
+                        zones.Cordon();
+                        zones.Add(1, World::MakeStep(12));
+                      },
+                      8},
+        StartPathCase{"placed_and_being_stored",
+                      [](TwoZones& zones) {
+                        zones.Add(1, World::MakeStep(8));
+                        zones.world.Decide();
+                        zones.Cordon();
+                      },
+                      8},
+        StartPathCase{"second_try",
+                      [](TwoZones& zones) {
+                        StartInTheEast(zones, World::MakeStep(1), OrderOutcome::kNoAnswer);
+                        zones.Cordon();
+                      },
+                      1},
+        StartPathCase{"refused_start",
+                      [](TwoZones& zones) {
+                        StartInTheEast(zones, World::MakeStep(1), OrderOutcome::kRefused);
+                        zones.Cordon();
+                      },
+                      1},
+        StartPathCase{"long_running_task_that_failed", FailLongRunning, 1},
+        StartPathCase{"long_running_task_that_has_to_move", EvacuateTheOtherEndpoint, 0},
+        StartPathCase{"gang", StartGangAcross, 0}, StartPathCase{"filler", StartFiller, 1},
+        StartPathCase{"restarted_endpoint", RestartTheEndpoint, 4}),
     [](const auto& info) { return info.param.name; });
 
-/// Guards against a cordon that ends what runs: operators want nothing new there, and callers lose
+/// Guards against a cordon that stops active runs: it only prevents new starts, and callers lose
 /// nothing.
-TEST(CordonedZone, LetsRunWhatRuns) {
+TEST(CordonedZone, KeepsActiveRuns) {
   TwoZones zones;
   zones.Add(1, World::MakeStep(12));
-  zones.Add(2, MakeLasting(2, 1000));
-  zones.Live(milliseconds(300));
+  zones.Add(2, MakeLongRunning(2, 1000));
+  zones.RunFor(milliseconds(300));
   const int before = zones.StartsAt("e");
   EXPECT_GT(before, 0);
   zones.Cordon();
-  zones.Live(seconds(2));
+  zones.RunFor(seconds(2));
   EXPECT_EQ(zones.StartsAt("e"), before);
   EXPECT_TRUE(zones.stops.empty());
 }
 
-/// Guards against the same where the answer to a start was lost: a look shows that it runs.
-TEST(CordonedZone, LooksBeforeItStopsAStartWithoutAnswer) {
+/// Guards against a cordon that stops an active run whose start got no answer: a status request
+/// shows that it runs.
+TEST(CordonedZone, IsPolledBeforeAnUnansweredStartIsStopped) {
   TwoZones zones;
   const StartOrder start = StartInTheEast(zones, World::MakeStep(1), OrderOutcome::kNoAnswer);
   zones.Cordon();
   zones.world.Pass(milliseconds(600));
   EXPECT_TRUE(zones.world.Round().stops.empty());
   zones.active["e"] = {World::Active(start)};
-  zones.Live(seconds(2));
+  zones.RunFor(seconds(2));
   EXPECT_TRUE(zones.stops.empty());
   EXPECT_TRUE(zones.starts.empty());
 }
 
-/// Guards against a zone that stays out of use after operators have taken it back.
-TEST(CordonedZone, IsUsedAtOnceWhenItIsTakenBack) {
+/// Guards against a zone that stays unused after operators have removed its cordon.
+TEST(CordonedZone, IsUsedAtOnceWhenTheCordonIsRemoved) {
   TwoZones zones;
   zones.Cordon();
   zones.Add(1, World::MakeStep(12));
-  zones.Live(milliseconds(500));
+  zones.RunFor(milliseconds(500));
   EXPECT_EQ(zones.StartsAt("e"), 0);
   zones.world.scheduler.SetCordonedZones({});
-  zones.Live(milliseconds(200));
+  zones.RunFor(milliseconds(200));
   EXPECT_EQ(zones.StartsAt("e"), 4);
 }
 
-/// Guards against a pool that is sized as if what runs in a cordoned zone had to be served again in
-/// the others.
-TEST(CordonedZone, CountsNothingThatRunsThereIntoThePoolsLoad) {
+/// Guards against a pool that is sized as if the runs in a cordoned zone needed capacity in the
+/// other zones as well.
+TEST(CordonedZone, IsExcludedFromTheLoadOfThePool) {
   TwoZones zones;
   zones.Add(1, World::MakeStep(16));
-  zones.Add(2, MakeLasting(2, 10));
-  zones.Live(milliseconds(300));
+  zones.Add(2, MakeLongRunning(2, 10));
+  zones.RunFor(milliseconds(300));
   const PoolLoad before = zones.world.scheduler.PoolLoads().at(ServiceId{"desk"});
   zones.Cordon();
   const PoolLoad after = zones.world.scheduler.PoolLoads().at(ServiceId{"desk"});
@@ -291,28 +293,28 @@
   EXPECT_LT(after.cpu.at_once, before.cpu.at_once);
 }
 
-/// Guards against a wave that stands still in a cordoned zone: what has to leave a VM there needs a
-/// place in another zone.
-TEST(CordonedZone, CountsWhatHasToLeaveItAndFindsNoPlace) {
+/// Guards against a maintenance wave that stalls in a cordoned zone: tasks that have to leave a VM
+/// there need capacity in another zone.
+TEST(CordonedZone, CountsTasksThatHaveToMoveAndHaveNoTarget) {
   TwoZones zones;
-  zones.Add(1, MakeLasting(2, 8000));
-  zones.Live(seconds(3));
+  zones.Add(1, MakeLongRunning(2, 8000));
+  zones.RunFor(seconds(3));
   zones.Cordon();
   EXPECT_EQ(zones.world.scheduler.PoolLoads().at(ServiceId{"desk"}).waiting_long_running, 0);
   zones.world.scheduler.BeginEvacuation("e");
-  zones.Live(milliseconds(300));
+  zones.RunFor(milliseconds(300));
   const PoolLoad load = zones.world.scheduler.PoolLoads().at(ServiceId{"desk"});
   EXPECT_EQ(load.waiting_long_running, 1);
   EXPECT_EQ(load.cpu.long_running, 16000);
 }
 
-/// Guards against a job of which nobody can say why it waits.
-TEST(CordonedZone, IsNamedAsTheReasonWhyAJobWaits) {
+/// Guards against a job that waits without a logged reason.
+TEST(CordonedZone, IsLoggedAsTheReasonWhyAJobWaits) {
   TwoZones zones;
   zones.world.scheduler.SetCordonedZones({kEast, kWest});
   zones.Add(1, World::MakeStep(1));
   zones.world.Pass(seconds(10));
-  zones.Live(milliseconds(300));
+  zones.RunFor(milliseconds(300));
   EXPECT_TRUE(zones.starts.empty());
   const std::vector<Note> notes = zones.world.scheduler.TakeNotes();
   EXPECT_TRUE(std::any_of(notes.begin(), notes.end(), [](const Note& note) {
