--- a/src/jobs/run_tracker.cc
+++ b/src/jobs/run_tracker.cc
@@ -195,7 +195,7 @@
   for (auto run = endpoint.orphaned_runs.begin(); run != endpoint.orphaned_runs.end();) {
     run = listed.contains(run->first) ? std::next(run) : endpoint.orphaned_runs.erase(run);
   }
-  std::vector<TaskRef> released;
+  std::vector<TaskRef> lost;
   const std::vector<TaskKey> claims(endpoint.claims.begin(), endpoint.claims.end());
   for (const TaskKey& key : claims) {
     const TaskRef ref = this->state.Find(key);
@@ -219,16 +219,16 @@
            endpoint.record.id,
            "not listed in a response to a request that was sent after its order"});
       this->state.Release(ref);
-      released.push_back(ref);
+      lost.push_back(ref);
     }
   }
-  this->StopGangsOf(released, now);
+  this->StopGangsOf(lost, now);
 }
 
 /// Called after all claims of an endpoint have been checked, because a member that is being stopped
 /// can't be told from one whose start can't arrive any more.
-void RunTracker::StopGangsOf(const std::vector<TaskRef>& released, TimePoint now) {
-  for (const TaskRef& ref : released) {
+void RunTracker::StopGangsOf(const std::vector<TaskRef>& lost, TimePoint now) {
+  for (const TaskRef& ref : lost) {
     this->state.StopGang(ref, now);
   }
 }
@@ -251,7 +251,7 @@
   for (const ActiveRun& active : report.active) {
     listed.insert({active.task, active.run});
   }
-  std::vector<TaskRef> released;
+  std::vector<TaskRef> lost;
   const std::vector<TaskKey> claims(endpoint.claims.begin(), endpoint.claims.end());
   for (const TaskKey& key : claims) {
     const TaskRef ref = this->state.Find(key);
@@ -264,7 +264,7 @@
       this->state.MarkDirty(*ref.job);
       continue;
     }
-    released.push_back(ref);
+    lost.push_back(ref);
     // Of several tries, a delayed one may arrive after the run was reported.
     const bool is_settled = task.is_reported && task.start_tries <= 1;
     const bool may_start = !task.is_adopted && !is_settled && task.state != RunState::kRecording;
@@ -280,7 +280,7 @@
     this->state.ReportEvent({"run_lost", key, {}, endpoint.record.id, "the endpoint restarted"});
     this->state.Release(ref);
   }
-  this->StopGangsOf(released, now);
+  this->StopGangsOf(lost, now);
   ResetIncarnation(endpoint);
 }
 
@@ -295,14 +295,14 @@
 }
 
 void RunTracker::ReleaseAll(EndpointState& endpoint, const std::string& why, TimePoint now) {
-  std::vector<TaskRef> released;
+  std::vector<TaskRef> lost;
   const std::vector<TaskKey> claims(endpoint.claims.begin(), endpoint.claims.end());
   for (const TaskKey& key : claims) {
     this->state.ReportEvent({"run_lost", key, {}, endpoint.record.id, why});
-    released.push_back(this->state.Find(key));
-    this->state.Release(released.back());
+    lost.push_back(this->state.Find(key));
+    this->state.Release(lost.back());
   }
-  this->StopGangsOf(released, now);
+  this->StopGangsOf(lost, now);
 }
 
 void RunTracker::OnEndpointReplaced(EndpointState& endpoint, TimePoint now) {
--- a/src/jobs/run_tracker.h
+++ b/src/jobs/run_tracker.h
@@ -40,8 +40,8 @@
                        TimePoint now);
   /// One member of a gang is done, which completes the whole gang.
   void CompleteGang(const TaskRef& ref, std::uint64_t run, TimePoint now);
-  /// Stops the remaining members of each gang that lost one of these members.
-  void StopGangsOf(const std::vector<TaskRef>& released, TimePoint now);
+  /// Stops the remaining members of each gang that a member in `lost` belongs to.
+  void StopGangsOf(const std::vector<TaskRef>& lost, TimePoint now);
   /// Releases all claims on the endpoint; `why` is logged.
   void ReleaseAll(EndpointState& endpoint, const std::string& why, TimePoint now);
   /// Whether `run` is the current run of the task and its claim is on `endpoint`.
