--- a/include/chervilspar/jobs/scheduler.h
+++ b/include/chervilspar/jobs/scheduler.h
@@ -70,7 +70,7 @@
 struct Orders {
   std::vector<StartOrder> starts;
   std::vector<StopOrder> stops;
-  std::vector<PaceOrder> paces;
+  std::vector<ThrottleOrder> paces;
 };
 
 /// The state of a job as reported to callers.
@@ -96,7 +96,7 @@
 
 /// The lease renewal to send to an endpoint now.
 struct RenewalPlan {
-  HoldOrder order;
+  RenewalOrder order;
   /// False if there is nothing to renew, confirm or poll at the endpoint.
   bool is_needed = false;
 };
@@ -167,12 +167,12 @@
   /// Cancels a job, including one that `AddJob` adds only later.
   void CancelJob(const JobId& id);
   /// `sent` is when the renewal was sent. The report may lack runs that ended after that.
-  void OnRenewalAnswered(const HoldOrder& order, const HoldReport& report, TimePoint sent,
+  void OnRenewalAnswered(const RenewalOrder& order, const RenewalReport& report, TimePoint sent,
                          TimePoint now);
   void OnRenewalFailed(const std::string& endpoint, OrderOutcome outcome, TimePoint now);
   void OnStartAnswered(const StartOrder& order, OrderOutcome outcome, TimePoint now);
   void OnStopAnswered(const StopOrder& order, OrderOutcome outcome, TimePoint now);
-  void OnThrottleAnswered(const PaceOrder& order, OrderOutcome outcome);
+  void OnThrottleAnswered(const ThrottleOrder& order, OrderOutcome outcome);
   void OnAdvice(const TaskKey& step, const std::vector<AdviceTicket>& tickets, TimePoint now);
 
   /// Sets the latest time at which there was provably no successor. Leases are renewed for
--- a/src/job_entry/vm_driver.cc
+++ b/src/job_entry/vm_driver.cc
@@ -238,7 +238,7 @@
     }
   }
   for (const VmId& vm : step.reboot) {
-    if (!may_order || this->is_stopped || !this->budget.Take(this->context.Now())) {
+    if (!may_order || this->is_stopped || !this->budget.TryAcquire(this->context.Now())) {
       break;
     }
     // Counts as down before the order is sent: an order without a response may have been executed.
@@ -385,7 +385,7 @@
   this->SetReleased(step.release);
   for (const jobs::SizerPlan::Move& move : step.moves) {
     const bool may_move = !this->is_stopped && !this->refused_moves.contains({move.vm, move.to});
-    if (may_move && this->budget.Take(this->context.Now())) {
+    if (may_move && this->budget.TryAcquire(this->context.Now())) {
       this->moving[move.vm] = {move.to, this->context.Now()};
       this->EnqueueOrder([this, move] { return this->Move(move.vm, move.to); });
     }
--- a/src/jobs/order_round.cc
+++ b/src/jobs/order_round.cc
@@ -13,7 +13,7 @@
 
 StartOrder OrderRound::StartOf(const TaskRef& ref) {
   Task& task = *ref.task;
-  task.ordered = this->now;
+  task.last_order_sent = this->now;
   ++task.start_tries;
   const EndpointRecord& record = task.endpoint->record;
   return {.endpoint = record.id,
@@ -28,22 +28,23 @@
 }
 
 void OrderRound::Gather(Orders& orders) {
-  for (auto place = this->state.unsettled.begin(); place != this->state.unsettled.end();) {
+  for (auto place = this->state.retry_candidates.begin();
+       place != this->state.retry_candidates.end();) {
     const TaskKey key = *place++;
     const TaskRef ref = this->state.Find(key);
-    if (ref && ref.task->state == RunState::kUnsure) {
+    if (ref && ref.task->state == RunState::kUnconfirmed) {
       this->GatherUnconfirmed(ref, orders);
     } else if (ref && ref.task->state == RunState::kStopping) {
       this->GatherStop(ref, orders);
     } else {
-      this->state.unsettled.erase(key);
+      this->state.retry_candidates.erase(key);
     }
   }
-  if (this->state.has_strays) {
-    this->state.has_strays = false;
+  if (this->state.has_orphaned_runs) {
+    this->state.has_orphaned_runs = false;
     for (const auto& [id, endpoint] : this->state.endpoints) {
-      if (!endpoint->strays.empty()) {
-        this->state.has_strays = true;
+      if (!endpoint->orphaned_runs.empty()) {
+        this->state.has_orphaned_runs = true;
         this->GatherOrphanStops(*endpoint, orders);
       }
     }
@@ -56,7 +57,7 @@
   Task& task = *ref.task;
   const bool is_cordoned = task.endpoint->is_cordoned;
   const Duration pause = is_cordoned ? kPollBeforeStop : this->state.options.start_retry;
-  if (this->now - task.ordered < pause) {
+  if (this->now - task.last_order_sent < pause) {
     return;
   }
   const bool may_repeat = !is_cordoned && this->now < task.start_expires;
@@ -65,14 +66,14 @@
     return;
   }
   if (!task.is_adopted && !this->MayBeServing(ref)) {
-    this->state.Tell(
+    this->state.ReportEvent(
         {"start_given_up",
          ref.key,
          {},
          task.endpoint->record.id,
          "no answer to " + std::to_string(task.start_tries) + " start orders; sending a stop"});
     this->state.BeginStop(ref, this->now);
-    this->state.BreakGang(ref, this->now);
+    this->state.StopGang(ref, this->now);
     this->GatherStop(ref, orders);
   }
 }
@@ -81,27 +82,27 @@
 /// while siblings may be away, too, so the endpoint has to be polled after the order first.
 bool OrderRound::MayBeServing(const TaskRef& ref) const {
   const Task& task = *ref.task;
-  return ref.spec->is_long_running && task.endpoint->looked <= task.ordered;
+  return ref.spec->is_long_running && task.endpoint->last_answered_request <= task.last_order_sent;
 }
 
 void OrderRound::GatherStop(const TaskRef& ref, Orders& orders) {
   Task& task = *ref.task;
-  const bool is_waiting = this->now - task.ordered < this->state.options.stop_retry;
+  const bool is_waiting = this->now - task.last_order_sent < this->state.options.stop_retry;
   if (is_waiting || task.stop_answered) {
     return;
   }
-  task.ordered = this->now;
+  task.last_order_sent = this->now;
   const EndpointRecord& record = task.endpoint->record;
   orders.stops.push_back(
       {record.id, record.address, ref.key, task.progress.run, this->state.token});
 }
 
 void OrderRound::GatherOrphanStops(EndpointState& endpoint, Orders& orders) {
-  for (auto& [orphan, ordered] : endpoint.strays) {
-    if (this->now - ordered < this->state.options.stop_retry) {
+  for (auto& [orphan, last_order_sent] : endpoint.orphaned_runs) {
+    if (this->now - last_order_sent < this->state.options.stop_retry) {
       continue;
     }
-    ordered = this->now;
+    last_order_sent = this->now;
     orders.stops.push_back({endpoint.record.id, endpoint.record.address, orphan.first,
                             orphan.second, this->state.token});
   }
--- a/src/jobs/placement.cc
+++ b/src/jobs/placement.cc
@@ -84,18 +84,18 @@
   }
   const bool opens_another = IsServing(*ref.spec) && !has_serving;
   return shared * kSharingCost + (opens_another ? kFirstServingTaskCost : 0) +
-         (endpoint.is_due ? kRebootSoonCost : 0);
+         (endpoint.is_reboot_due ? kRebootSoonCost : 0);
 }
 
 std::int64_t Placement::Cost(const TaskRef& ref, const EndpointState& endpoint) const {
   std::int64_t cost = this->SharingCost(ref, endpoint);
-  if (endpoint.record.id == ref.task->avoid) {
+  if (endpoint.record.id == ref.task->avoided_endpoint) {
     cost += kFailedThereCost;
   }
   if (!ref.spec->data_rack.empty() && !endpoint.record.HasLabel(ref.spec->data_rack)) {
     cost += kOtherRackCost;
   }
-  const std::int64_t left = endpoint.Room().cpu - RoomFor(*ref.spec).cpu;
+  const std::int64_t left = endpoint.FreeCapacity().cpu - RequiredCapacity(*ref.spec).cpu;
   const bool is_spread = ref.spec->is_long_running;
   return cost + (is_spread ? -left : left);
 }
@@ -106,11 +106,11 @@
   if (pool == this->state.pools.end()) {
     return nullptr;
   }
-  const Resources need = RoomFor(*ref.spec);
+  const Resources need = RequiredCapacity(*ref.spec);
   EndpointState* best = nullptr;
   std::int64_t best_cost = std::numeric_limits<std::int64_t>::max();
   for (EndpointState* endpoint : pool->second.endpoints) {
-    const Resources free_capacity = endpoint->Room();
+    const Resources free_capacity = endpoint->FreeCapacity();
     // The remaining free cpu is a lower bound of the cost of a batch task and rules out most
     // endpoints.
     const bool is_costlier =
@@ -136,7 +136,7 @@
   const std::vector<EndpointState*>& endpoints = pool->second.endpoints;
   return std::any_of(endpoints.begin(), endpoints.end(), [&](const EndpointState* endpoint) {
     return endpoint->is_cordoned && !endpoint->IsLeaving() && HasLabelFor(ref, *endpoint) &&
-           endpoint->record.capacity.Fits(RoomFor(*ref.spec));
+           endpoint->record.capacity.Fits(RequiredCapacity(*ref.spec));
   });
 }
 
@@ -147,9 +147,9 @@
     return nullptr;
   }
   for (EndpointState* endpoint : pool->second.endpoints) {
-    const bool may_run =
-        this->MayRunOn(ref, *endpoint, now) && endpoint->record.capacity.Fits(RoomFor(*ref.spec));
-    if (may_run && (best == nullptr || best->Room().cpu < endpoint->Room().cpu)) {
+    const bool may_run = this->MayRunOn(ref, *endpoint, now) &&
+                         endpoint->record.capacity.Fits(RequiredCapacity(*ref.spec));
+    if (may_run && (best == nullptr || best->FreeCapacity().cpu < endpoint->FreeCapacity().cpu)) {
       best = endpoint;
     }
   }
--- a/src/jobs/placing_round.cc
+++ b/src/jobs/placing_round.cc
@@ -69,8 +69,8 @@
       const auto waiting =
           std::count_if(occurrence.steps[i].tasks.begin(), occurrence.steps[i].tasks.end(),
                         [](const Task& task) { return task.IsWaiting(); });
-      work += static_cast<double>(waiting) * static_cast<double>(RoomFor(spec).cpu) *
-              static_cast<double>(std::max<std::int64_t>(spec.estimate_ms, kLeastEstimateMs));
+      work += static_cast<double>(waiting) * static_cast<double>(RequiredCapacity(spec).cpu) *
+              static_cast<double>(std::max<std::int64_t>(spec.estimate_ms, kMinEstimateMs));
     }
   }
   return work;
@@ -91,13 +91,13 @@
     }
     for (const TaskKey& key : endpoint->claims) {
       const TaskRef ref = this->state.Find(key);
-      cpu -= ref.spec->is_long_running ? static_cast<double>(RoomFor(*ref.spec).cpu) : 0;
+      cpu -= ref.spec->is_long_running ? static_cast<double>(RequiredCapacity(*ref.spec).cpu) : 0;
     }
   }
   std::vector<UrgentJob> urgent;
   for (const ReadyKey& key : pool.ready) {
     JobState& job = *this->state.FindJob(key.job);
-    job.is_given_up = false;
+    job.is_abandoned = false;
     if (key.rank > 0 && key.latest_start_ms >= this->wall_ms) {
       urgent.push_back(
           {key.job, job.job.team,
@@ -113,7 +113,7 @@
     weights[id] = team.weight;
   }
   for (const JobId& id : OverloadPlan::SelectJobsToAbandon(urgent, std::max(cpu, 0.0), weights)) {
-    this->state.FindJob(id)->is_given_up = true;
+    this->state.FindJob(id)->is_abandoned = true;
   }
 }
 
@@ -124,7 +124,7 @@
     const ReadyKey key = *place;
     JobState& job = *this->state.FindJob(key.job);
     const bool is_selected =
-        filter == JobFilter::kAll || job.is_given_up == (filter == JobFilter::kAbandoned);
+        filter == JobFilter::kAll || job.is_abandoned == (filter == JobFilter::kAbandoned);
     if (is_selected && !this->PlaceJob(job) &&
         ++this->unplaced_jobs >= this->state.options.max_unplaced_per_round) {
       return false;
@@ -151,16 +151,17 @@
 
 void PlacingRound::LogWaitReason(JobState& job) {
   const bool is_late = this->wall_ms > job.deadline_ms;
-  if (this->wait_reason == WaitReason::kNone || this->wait_reason == job.told_wait || !is_late) {
+  if (this->wait_reason == WaitReason::kNone || this->wait_reason == job.reported_wait_reason ||
+      !is_late) {
     return;
   }
-  job.told_wait = this->wait_reason;
-  this->state.Tell({"job_waits",
-                    {},
-                    job.job.id,
-                    "",
-                    std::string(ToString(this->wait_reason)) + "; late by " +
-                        std::to_string(this->wall_ms - job.deadline_ms) + " ms"});
+  job.reported_wait_reason = this->wait_reason;
+  this->state.ReportEvent({"job_waits",
+                           {},
+                           job.job.id,
+                           "",
+                           std::string(ToString(this->wait_reason)) + "; late by " +
+                               std::to_string(this->wall_ms - job.deadline_ms) + " ms"});
 }
 
 bool PlacingRound::NeedsAdvice(const TaskRef& ref) const {
@@ -188,9 +189,10 @@
     if (!this->PlaceTask(ref, this->reserved, ref.task->progress.run + 1)) {
       // A task that no endpoint can run doesn't block the jobs after it.
       const bool could_run = this->ReserveEndpointFor(ref);
-      const WaitReason nowhere =
-          this->placement.IsBlockedByCordon(ref) ? WaitReason::kCordoned : WaitReason::kNowhere;
-      this->wait_reason = could_run ? WaitReason::kNoRoom : nowhere;
+      const WaitReason nowhere = this->placement.IsBlockedByCordon(ref)
+                                     ? WaitReason::kCordoned
+                                     : WaitReason::kNoEligibleEndpoint;
+      this->wait_reason = could_run ? WaitReason::kNoCapacity : nowhere;
       return !could_run;
     }
   }
@@ -207,7 +209,7 @@
 
 bool PlacingRound::PlaceTask(const TaskRef& ref, const std::set<EndpointState*>& excluded,
                              std::uint64_t run) {
-  this->state.GiveUpRoom(ref.key);  // The capacity was reserved for this task.
+  this->state.ReleaseReservation(ref.key);  // The capacity was reserved for this task.
   EndpointState* endpoint = this->placement.Choose(ref, excluded, this->now);
   if (endpoint == nullptr) {
     return false;
--- a/src/jobs/run_tracker.cc
+++ b/src/jobs/run_tracker.cc
@@ -6,66 +6,66 @@
 
 namespace {
 
-/// An endpoint lists this many ends at a time; a full list may leave some out.
-constexpr std::size_t kEndsListed = 500;
-/// The pause before a long-running task starts again grows to this many times the first.
+/// An endpoint lists at most this many ends at a time, so that a full list may be incomplete.
+constexpr std::size_t kMaxListedEnds = 500;
+/// The delay before a restart of a long-running task grows up to this multiple of the first delay.
 constexpr int kMaxRestartFactor = 10;
-/// No room although there was by our count: it is passed over for this long.
-constexpr Duration kFullPause = std::chrono::milliseconds(250);
+/// An endpoint that refuses a start for lack of capacity is skipped for this long.
+constexpr Duration kFullBackoff = std::chrono::milliseconds(250);
 
 }  // namespace
 
-bool RunTracker::IsMine(const TaskRef& ref, const EndpointState& endpoint,
-                        std::uint64_t run) const {
+bool RunTracker::IsCurrentRun(const TaskRef& ref, const EndpointState& endpoint,
+                              std::uint64_t run) const {
   return ref && ref.task->state != RunState::kNone && ref.task->endpoint == &endpoint &&
          ref.task->progress.run == run;
 }
 
-void RunTracker::OnHeld(EndpointState& endpoint, const HoldReport& report, TimePoint sent,
+void RunTracker::OnHeld(EndpointState& endpoint, const RenewalReport& report, TimePoint sent,
                         TimePoint now) {
   if (report.born_ms != 0 && endpoint.born_ms != 0 && report.born_ms < endpoint.born_ms) {
-    return;  // a former life's answer that was overtaken
+    return;  // a delayed answer of a former incarnation
   }
   if (report.born_ms != 0 && report.born_ms != endpoint.born_ms) {
     if (endpoint.born_ms != 0) {
-      this->OnNewLife(endpoint, report, now);
+      this->OnRestart(endpoint, report, now);
     }
     endpoint.born_ms = report.born_ms;
   }
   const bool is_first = !endpoint.clock_ms.has_value();
   endpoint.clock_ms = report.clock_ms;
   endpoint.clock_at = now;
-  endpoint.heard = now;
-  endpoint.looked = std::max(endpoint.looked, sent);
+  endpoint.last_response = now;
+  endpoint.last_answered_request = std::max(endpoint.last_answered_request, sent);
   endpoint.is_silent = false;
   if (is_first) {
-    // From here on no predecessor's order is obeyed, so no lease is longer than one of ours.
+    // The endpoint now refuses a predecessor's orders, so no lease exceeds one of this owner.
     endpoint.lease_end = now + this->state.options.LongestLease();
   }
   for (const EndedRun& ended : report.ended) {
     if (ended.number > endpoint.seen_end) {
-      this->TakeEnd(endpoint, ended, now);
+      this->ProcessEnd(endpoint, ended, now);
       endpoint.seen_end = ended.number;
       this->state.has_new_ends = true;
     }
   }
   for (const ActiveRun& active : report.active) {
-    this->TakeActive(endpoint, active, now);
+    this->ProcessActive(endpoint, active, now);
   }
-  if (report.ended.size() < kEndsListed) {
-    this->DropMissing(endpoint, report, sent, now);
+  if (report.ended.size() < kMaxListedEnds) {
+    this->ReleaseUnlisted(endpoint, report, sent, now);
   }
 }
 
-void RunTracker::TakeEnd(EndpointState& endpoint, const EndedRun& ended, TimePoint now) {
-  endpoint.strays.erase({ended.task, ended.run});
+void RunTracker::ProcessEnd(EndpointState& endpoint, const EndedRun& ended, TimePoint now) {
+  endpoint.orphaned_runs.erase({ended.task, ended.run});
   const TaskRef ref = this->state.Find(ended.task);
   if (!ref) {
-    return;  // the job has ended and its tasks are forgotten
+    return;  // the job has ended and its tasks were removed
   }
-  const bool is_mine = this->IsMine(ref, endpoint, ended.run);
-  this->state.NoteBegun(ref, endpoint, now);
-  this->state.Tell(
+  const bool is_current = this->IsCurrentRun(ref, endpoint, ended.run);
+  this->state.MarkStarted(ref, endpoint, now);
+  this->state.ReportEvent(
       {"run_ended",
        ended.task,
        {},
@@ -75,7 +75,7 @@
   if (!ended.checkpoint.empty() && ref.task->progress.phase != TaskPhase::kDone) {
     ref.task->progress.checkpoint = ended.checkpoint;
   }
-  if (is_mine) {
+  if (is_current) {
     this->state.Release(ref);
   }
   if (ended.end == RunEnd::kDone && !ref.spec->is_long_running) {
@@ -83,20 +83,20 @@
     endpoint.failed_jobs.clear();
     this->state.MarkDone(ref, now);
     if (ref.spec->is_gang) {
-      this->ReleaseGangAfterDone(ref, ended.run, now);
+      this->CompleteGang(ref, ended.run, now);
     }
     return;
   }
   if (ended.run <= ref.task->progress.ended_run) {
-    return;  // counted before
+    return;  // already counted
   }
   ref.task->progress.ended_run = ended.run;
   this->state.MarkDirty(*ref.job);
   if (ended.end == RunEnd::kFailed) {
-    this->TakeFailure(ref, endpoint, ended);
+    this->ProcessFailure(ref, endpoint, ended);
   }
-  if (is_mine) {
-    this->state.BreakGang(ref, now);
+  if (is_current) {
+    this->state.StopGang(ref, now);
   }
   ref.task->not_before = now;
   if (ref.spec->is_long_running && ended.end != RunEnd::kStopped) {
@@ -105,21 +105,22 @@
   }
 }
 
-void RunTracker::TakeFailure(const TaskRef& ref, EndpointState& endpoint, const EndedRun& ended) {
+void RunTracker::ProcessFailure(const TaskRef& ref, EndpointState& endpoint,
+                                const EndedRun& ended) {
   Task& task = *ref.task;
-  task.avoid = endpoint.record.id;
+  task.avoided_endpoint = endpoint.record.id;
   ++endpoint.failures;
   endpoint.failed_jobs.insert(ended.task.job);
   const bool has_several = endpoint.failed_jobs.size() > 1;
   if (endpoint.failures >= this->state.options.failures_to_eject && has_several) {
-    endpoint.ejected_until = endpoint.heard + this->state.options.ejection;
+    endpoint.ejected_until = endpoint.last_response + this->state.options.ejection;
     endpoint.failures = 0;
     endpoint.failed_jobs.clear();
-    this->state.Tell({"endpoint_ejected",
-                      ended.task,
-                      {},
-                      endpoint.record.id,
-                      "runs of several jobs failed in a row"});
+    this->state.ReportEvent({"endpoint_ejected",
+                             ended.task,
+                             {},
+                             endpoint.record.id,
+                             "consecutive runs of several jobs failed"});
   }
   if (ref.spec->is_long_running) {
     return;
@@ -135,16 +136,16 @@
   if (failures >= ref.job->attempts && task.progress.phase == TaskPhase::kWaiting) {
     task.progress.phase = TaskPhase::kFailed;
     ref.job->is_failed = !ref.job->is_cancelled;
-    this->state.Tell({"job_failed",
-                      ended.task,
-                      {},
-                      endpoint.record.id,
-                      "failed " + std::to_string(failures) + " times"});
-    this->state.StopAll(*ref.job, endpoint.heard);
+    this->state.ReportEvent({"job_failed",
+                             ended.task,
+                             {},
+                             endpoint.record.id,
+                             "failed " + std::to_string(failures) + " times"});
+    this->state.StopAll(*ref.job, endpoint.last_response);
   }
 }
 
-void RunTracker::ReleaseGangAfterDone(const TaskRef& ref, std::uint64_t run, TimePoint now) {
+void RunTracker::CompleteGang(const TaskRef& ref, std::uint64_t run, TimePoint now) {
   for (std::uint32_t i = 0; i < ref.step->tasks.size(); ++i) {
     TaskKey key = ref.key;
     key.index = i;
@@ -156,19 +157,19 @@
   }
 }
 
-void RunTracker::TakeActive(EndpointState& endpoint, const ActiveRun& active, TimePoint now) {
+void RunTracker::ProcessActive(EndpointState& endpoint, const ActiveRun& active, TimePoint now) {
   const TaskRef ref = this->state.Find(active.task);
   if (ref) {
-    this->state.NoteBegun(ref, endpoint, now);
+    this->state.MarkStarted(ref, endpoint, now);
   }
-  if (!this->IsMine(ref, endpoint, active.run)) {
-    endpoint.strays.try_emplace({active.task, active.run}, TimePoint{});
-    this->state.has_strays = true;
+  if (!this->IsCurrentRun(ref, endpoint, active.run)) {
+    endpoint.orphaned_runs.try_emplace({active.task, active.run}, TimePoint{});
+    this->state.has_orphaned_runs = true;
     return;
   }
   Task& task = *ref.task;
-  task.is_shown = true;
-  if (task.state == RunState::kStarting || task.state == RunState::kUnsure) {
+  task.is_reported = true;
+  if (task.state == RunState::kStarting || task.state == RunState::kUnconfirmed) {
     task.state = RunState::kActive;
     task.since = now;
   }
@@ -176,7 +177,7 @@
     task.percent = active.percent;
     task.percent_since = now;
   }
-  if (ref.spec->is_long_running && active.percent >= kAtWork) {
+  if (ref.spec->is_long_running && active.percent >= kReadyPercent) {
     task.restarts = 0;
   }
   task.gauge = active.gauge;
@@ -185,16 +186,16 @@
   }
 }
 
-void RunTracker::DropMissing(EndpointState& endpoint, const HoldReport& report, TimePoint sent,
-                             TimePoint now) {
+void RunTracker::ReleaseUnlisted(EndpointState& endpoint, const RenewalReport& report,
+                                 TimePoint sent, TimePoint now) {
   std::set<std::pair<TaskKey, std::uint64_t>> listed;
   for (const ActiveRun& active : report.active) {
     listed.insert({active.task, active.run});
   }
-  for (auto stray = endpoint.strays.begin(); stray != endpoint.strays.end();) {
-    stray = listed.contains(stray->first) ? std::next(stray) : endpoint.strays.erase(stray);
+  for (auto run = endpoint.orphaned_runs.begin(); run != endpoint.orphaned_runs.end();) {
+    run = listed.contains(run->first) ? std::next(run) : endpoint.orphaned_runs.erase(run);
   }
-  std::vector<TaskRef> given_up;
+  std::vector<TaskRef> lost;
   const std::vector<TaskKey> claims(endpoint.claims.begin(), endpoint.claims.end());
   for (const TaskKey& key : claims) {
     const TaskRef ref = this->state.Find(key);
@@ -205,37 +206,39 @@
     const bool was_confirmed = task.state == RunState::kActive && task.since < sent;
     const bool is_settled =
         task.state == RunState::kStopping && task.stop_answered && *task.stop_answered < sent;
-    const bool is_past = (task.state == RunState::kUnsure || task.state == RunState::kStopping) &&
-                         task.start_expires < sent;
-    // This answer knows our token, so that a predecessor's order can't be carried out any more.
-    const bool is_fenced_off = task.state == RunState::kUnsure && task.is_adopted;
-    if (was_confirmed || is_settled || is_past || is_fenced_off) {
-      this->state.Tell({"run_absent",
-                        key,
-                        {},
-                        endpoint.record.id,
-                        "not listed by an answer that is newer than its order"});
+    const bool is_expired =
+        (task.state == RunState::kUnconfirmed || task.state == RunState::kStopping) &&
+        task.start_expires < sent;
+    // The endpoint knows this owner's token, so that it refuses a predecessor's order from now on.
+    const bool is_fenced = task.state == RunState::kUnconfirmed && task.is_adopted;
+    if (was_confirmed || is_settled || is_expired || is_fenced) {
+      this->state.ReportEvent(
+          {"run_absent",
+           key,
+           {},
+           endpoint.record.id,
+           "not listed in a response to a request that was sent after its order"});
       this->state.Release(ref);
-      given_up.push_back(ref);
+      lost.push_back(ref);
     }
   }
-  this->BreakGangsOf(given_up, now);
+  this->StopGangsOf(lost, now);
 }
 
-/// After all claims of an endpoint have been looked at: a member that is stopped looks like one
-/// whose start can't arrive any more.
-void RunTracker::BreakGangsOf(const std::vector<TaskRef>& given_up, TimePoint now) {
-  for (const TaskRef& ref : given_up) {
-    this->state.BreakGang(ref, now);
+/// Called after all claims of an endpoint have been checked, because a member that is being stopped
+/// can't be told from one whose start can't arrive any more.
+void RunTracker::StopGangsOf(const std::vector<TaskRef>& lost, TimePoint now) {
+  for (const TaskRef& ref : lost) {
+    this->state.StopGang(ref, now);
   }
 }
 
-/// What can go wrong: the new life took a run before anybody here had heard of it. Released on the
-/// registry's word, the task would be started beside itself. So the registry's word only asks for a
-/// look, whose answer says what runs there.
-void RunTracker::OnNewLifeRegistered(EndpointState& endpoint, std::int64_t born_ms) {
+/// The new incarnation may have started a run before this process learned of the restart. If the
+/// claim were released on the registration, the task would run twice. Therefore a registration only
+/// causes a status request, whose answer lists the active runs.
+void RunTracker::OnRestartRegistered(EndpointState& endpoint, std::int64_t born_ms) {
   if (endpoint.claims.empty()) {
-    Forget(endpoint);
+    ResetIncarnation(endpoint);
     endpoint.born_ms = born_ms;
     return;
   }
@@ -243,12 +246,12 @@
   endpoint.clock_ms.reset();
 }
 
-void RunTracker::OnNewLife(EndpointState& endpoint, const HoldReport& report, TimePoint now) {
-  std::set<std::pair<TaskKey, std::uint64_t>> kept;
+void RunTracker::OnRestart(EndpointState& endpoint, const RenewalReport& report, TimePoint now) {
+  std::set<std::pair<TaskKey, std::uint64_t>> listed;
   for (const ActiveRun& active : report.active) {
-    kept.insert({active.task, active.run});
+    listed.insert({active.task, active.run});
   }
-  std::vector<TaskRef> given_up;
+  std::vector<TaskRef> lost;
   const std::vector<TaskKey> claims(endpoint.claims.begin(), endpoint.claims.end());
   for (const TaskKey& key : claims) {
     const TaskRef ref = this->state.Find(key);
@@ -256,60 +259,61 @@
     if (task.progress.endpoint_born_ms == report.born_ms) {
       continue;
     }
-    if (kept.contains({key, task.progress.run})) {
+    if (listed.contains({key, task.progress.run})) {
       task.progress.endpoint_born_ms = report.born_ms;
       this->state.MarkDirty(*ref.job);
       continue;
     }
-    given_up.push_back(ref);
-    // Of several tries, one that was overtaken may come after the run has been shown.
-    const bool is_settled = task.is_shown && task.start_tries <= 1;
-    const bool may_arrive = !task.is_adopted && !is_settled && task.state != RunState::kRecording;
-    if (may_arrive) {
-      // The start has no answer yet. Its time limit is on the former life's clock and doesn't hold
-      // it back in this one, nor does a stop there; only a stop here does.
+    lost.push_back(ref);
+    // Of several tries, a delayed one may arrive after the run was reported.
+    const bool is_settled = task.is_reported && task.start_tries <= 1;
+    const bool may_start = !task.is_adopted && !is_settled && task.state != RunState::kRecording;
+    if (may_start) {
+      // The start is unanswered. Its deadline is on the former incarnation's clock and doesn't stop
+      // this one from executing it, and neither does a stop that the former one executed. Only a
+      // stop sent to this incarnation does.
       this->state.BeginStop(ref, now);
-      task.ordered = TimePoint{};
+      task.last_order_sent = TimePoint{};
       task.stop_answered.reset();
       continue;
     }
-    this->state.Tell({"run_lost", key, {}, endpoint.record.id, "the endpoint started anew"});
+    this->state.ReportEvent({"run_lost", key, {}, endpoint.record.id, "the endpoint restarted"});
     this->state.Release(ref);
   }
-  this->BreakGangsOf(given_up, now);
-  Forget(endpoint);
+  this->StopGangsOf(lost, now);
+  ResetIncarnation(endpoint);
 }
 
-void RunTracker::Forget(EndpointState& endpoint) {
+void RunTracker::ResetIncarnation(EndpointState& endpoint) {
   endpoint.clock_ms.reset();
   endpoint.seen_end = 0;
   endpoint.stored_end = 0;
   endpoint.confirmed_end = 0;
-  endpoint.strays.clear();
+  endpoint.orphaned_runs.clear();
   endpoint.failures = 0;
   endpoint.failed_jobs.clear();
 }
 
-void RunTracker::Lose(EndpointState& endpoint, const std::string& why, TimePoint now) {
-  std::vector<TaskRef> given_up;
+void RunTracker::ReleaseAll(EndpointState& endpoint, const std::string& why, TimePoint now) {
+  std::vector<TaskRef> lost;
   const std::vector<TaskKey> claims(endpoint.claims.begin(), endpoint.claims.end());
   for (const TaskKey& key : claims) {
-    this->state.Tell({"run_lost", key, {}, endpoint.record.id, why});
-    given_up.push_back(this->state.Find(key));
-    this->state.Release(given_up.back());
+    this->state.ReportEvent({"run_lost", key, {}, endpoint.record.id, why});
+    lost.push_back(this->state.Find(key));
+    this->state.Release(lost.back());
   }
-  this->BreakGangsOf(given_up, now);
+  this->StopGangsOf(lost, now);
 }
 
-void RunTracker::OnGone(EndpointState& endpoint, TimePoint now) {
-  this->Lose(endpoint, "another endpoint answers at its address", now);
+void RunTracker::OnEndpointReplaced(EndpointState& endpoint, TimePoint now) {
+  this->ReleaseAll(endpoint, "another endpoint answers at its address", now);
   endpoint.is_silent = true;
 }
 
-void RunTracker::LapseLeases(TimePoint now) {
+void RunTracker::ReleaseExpiredLeases(TimePoint now) {
   for (const auto& [id, endpoint] : this->state.endpoints) {
     if (!endpoint->claims.empty() && now > endpoint->lease_end) {
-      this->Lose(*endpoint, "its lease must have lapsed", now);
+      this->ReleaseAll(*endpoint, "its lease has lapsed", now);
     }
   }
 }
@@ -317,18 +321,18 @@
 void RunTracker::OnStartAnswered(const StartOrder& order, OrderOutcome outcome, TimePoint now) {
   EndpointState* endpoint = this->state.FindEndpoint(order.endpoint);
   const TaskRef ref = this->state.Find(order.task);
-  if (endpoint == nullptr || !this->IsMine(ref, *endpoint, order.run)) {
+  if (endpoint == nullptr || !this->IsCurrentRun(ref, *endpoint, order.run)) {
     return;
   }
   Task& task = *ref.task;
-  if (task.state != RunState::kStarting && task.state != RunState::kUnsure) {
+  if (task.state != RunState::kStarting && task.state != RunState::kUnconfirmed) {
     return;
   }
   switch (outcome) {
     case OrderOutcome::kDone:
-      this->state.NoteBegun(ref, *endpoint, now);
+      this->state.MarkStarted(ref, *endpoint, now);
       task.state = RunState::kActive;
-      task.is_shown = true;
+      task.is_reported = true;
       task.since = now;
       task.percent_since = now;
       return;
@@ -337,40 +341,40 @@
       return;
     case OrderOutcome::kRunTooOld:
     case OrderOutcome::kNoAnswer:
-      task.state = RunState::kUnsure;
-      this->state.unsettled.insert(order.task);
+      task.state = RunState::kUnconfirmed;
+      this->state.retry_candidates.insert(order.task);
       return;
     case OrderOutcome::kNotSent:
       endpoint->is_silent = true;
       if (task.start_tries > 1) {
-        task.state = RunState::kUnsure;
-        this->state.unsettled.insert(order.task);
+        task.state = RunState::kUnconfirmed;
+        this->state.retry_candidates.insert(order.task);
         return;
       }
       break;
-    case OrderOutcome::kNoRoom:
-      endpoint->full_until = now + kFullPause;
+    case OrderOutcome::kNoCapacity:
+      endpoint->full_until = now + kFullBackoff;
       break;
     case OrderOutcome::kBadTicket:
       ref.step->advice = {};
       break;
     case OrderOutcome::kTooLate:
     case OrderOutcome::kRefused:
-      endpoint->full_until = now + kFullPause;
+      endpoint->full_until = now + kFullBackoff;
       break;
-    case OrderOutcome::kOtherLife:
-      this->OnGone(*endpoint, now);
+    case OrderOutcome::kOtherIncarnation:
+      this->OnEndpointReplaced(*endpoint, now);
       return;
   }
-  // A try without answer may still be carried out; only the last answer speaks of this one.
+  // An unanswered earlier try may still be executed; this answer is only about the last one.
   if (task.start_tries > 1) {
     this->state.BeginStop(ref, now);
-    this->state.BreakGang(ref, now);
+    this->state.StopGang(ref, now);
     return;
   }
-  this->state.Tell({"start_refused", order.task, {}, order.endpoint, ToString(outcome)});
+  this->state.ReportEvent({"start_refused", order.task, {}, order.endpoint, ToString(outcome)});
   this->state.Release(ref);
-  this->state.BreakGang(ref, now);
+  this->state.StopGang(ref, now);
 }
 
 void RunTracker::OnStopAnswered(const StopOrder& order, OrderOutcome outcome, TimePoint now) {
@@ -380,7 +384,7 @@
   }
   EndpointState* endpoint = this->state.FindEndpoint(order.endpoint);
   const TaskRef ref = this->state.Find(order.task);
-  if (endpoint == nullptr || !this->IsMine(ref, *endpoint, order.run)) {
+  if (endpoint == nullptr || !this->IsCurrentRun(ref, *endpoint, order.run)) {
     return;
   }
   const bool is_answered = outcome == OrderOutcome::kDone || outcome == OrderOutcome::kRunTooOld;
--- a/tests/jobs/gang_test.cc
+++ b/tests/jobs/gang_test.cc
@@ -74,7 +74,7 @@
     Members, GangWithoutAMember,
     ::testing::Values(MemberCase{"refused",
                                  [](Harness& harness, const StartOrder& start) {
-                                   Answer(harness, start, OrderOutcome::kNoRoom);
+                                   Answer(harness, start, OrderOutcome::kNoCapacity);
                                  },
                                  kMemberTimeout},
                       MemberCase{"never_answered",
@@ -87,7 +87,7 @@
                                    Answer(harness, start, OrderOutcome::kNoAnswer);
                                    harness.AdvanceTime(SchedulerOptions{}.start_retry);
                                    harness.Round();
-                                   Answer(harness, start, OrderOutcome::kNoRoom);
+                                   Answer(harness, start, OrderOutcome::kNoCapacity);
                                  },
                                  kMemberTimeout},
                       MemberCase{"confirmed_and_not_listed",
@@ -105,7 +105,7 @@
                                  kMemberTimeout},
                       MemberCase{"another_endpoint_at_its_address",
                                  [](Harness& harness, const StartOrder& start) {
-                                   Answer(harness, start, OrderOutcome::kOtherLife);
+                                   Answer(harness, start, OrderOutcome::kOtherIncarnation);
                                  },
                                  kMemberTimeout},
                       MemberCase{"lease_lapsed",
@@ -179,7 +179,7 @@
                        }},
         WithdrawalCase{"another_endpoint_at_its_address",
                        [](Harness& harness, const std::string& id) {
-                         harness.scheduler.OnRenewalFailed(id, OrderOutcome::kOtherLife,
+                         harness.scheduler.OnRenewalFailed(id, OrderOutcome::kOtherIncarnation,
                                                            harness.now);
                        }},
         WithdrawalCase{
--- a/tests/jobs/scheduler_test.cc
+++ b/tests/jobs/scheduler_test.cc
@@ -436,11 +436,11 @@
     return harness.Round().paces;
   };
   EXPECT_TRUE(report_tail(50).empty());
-  const std::vector<PaceOrder> slower = report_tail(95);
+  const std::vector<ThrottleOrder> slower = report_tail(95);
   ASSERT_EQ(slower.size(), 1U);
   EXPECT_EQ(slower[0].task.job, JobId{2});
   EXPECT_EQ(slower[0].percent, 50);
-  const std::vector<PaceOrder> faster = report_tail(40);
+  const std::vector<ThrottleOrder> faster = report_tail(40);
   ASSERT_EQ(faster.size(), 1U);
   EXPECT_EQ(faster[0].percent, 60);
 }
--- a/tests/jobs/waiting_jobs_test.cc
+++ b/tests/jobs/waiting_jobs_test.cc
@@ -79,7 +79,7 @@
         WaitingCase{"in_flight", [](Harness&, const StartOrder&) {}},
         WaitingCase{"no_room",
                     [](Harness& harness, const StartOrder& start) {
-                      Answer(harness, start, OrderOutcome::kNoRoom);
+                      Answer(harness, start, OrderOutcome::kNoCapacity);
                     }},
         WaitingCase{"refused",
                     [](Harness& harness, const StartOrder& start) {
@@ -95,7 +95,7 @@
                     }},
         WaitingCase{"another_endpoint_answers",
                     [](Harness& harness, const StartOrder& start) {
-                      Answer(harness, start, OrderOutcome::kOtherLife);
+                      Answer(harness, start, OrderOutcome::kOtherIncarnation);
                     }},
         WaitingCase{"no_answer_yet",
                     [](Harness& harness, const StartOrder& start) {
