--- a/include/chervilspar/job_entry/links.h
+++ b/include/chervilspar/job_entry/links.h
@@ -21,7 +21,7 @@
 namespace chervilspar::job_entry {
 
 /// What a renewal gave.
-struct HeldOutcome {
+struct RenewalOutcome {
   jobs::OrderOutcome outcome = jobs::OrderOutcome::kNoAnswer;
   /// There exactly when `outcome` is `kDone`.
   std::optional<jobs::HoldReport> report;
@@ -29,28 +29,31 @@
 
 /// Orders to one endpoint that are under way at once. An order takes 1 to 4 ms, a new connection
 /// costs more than that; a few connections carry a burst of sixteen starts in some 20 ms.
-constexpr std::size_t kOrdersAtOneEndpoint = 3;
+constexpr std::size_t kMaxOrdersPerEndpoint = 3;
 
 /// Orders to endpoints.
 class EndpointLink {
  public:
   virtual ~EndpointLink() = default;
 
-  virtual boost::asio::awaitable<HeldOutcome> Hold(jobs::HoldOrder order, Duration timeout) = 0;
+  virtual boost::asio::awaitable<RenewalOutcome> RenewLease(jobs::HoldOrder order,
+                                                            Duration timeout) = 0;
   virtual boost::asio::awaitable<jobs::OrderOutcome> Start(jobs::StartOrder order,
                                                            Duration timeout) = 0;
   virtual boost::asio::awaitable<jobs::OrderOutcome> Stop(jobs::StopOrder order,
                                                           Duration timeout) = 0;
-  virtual boost::asio::awaitable<jobs::OrderOutcome> Pace(jobs::PaceOrder order,
-                                                          Duration timeout) = 0;
+  virtual boost::asio::awaitable<jobs::OrderOutcome> Throttle(jobs::PaceOrder order,
+                                                              Duration timeout) = 0;
   /// How many orders other than holds should be under way to this endpoint at once.
-  virtual std::size_t OrdersAtOnce(const std::string&) const { return kOrdersAtOneEndpoint; }
+  virtual std::size_t MaxConcurrentOrders(const std::string&) const {
+    return kMaxOrdersPerEndpoint;
+  }
 };
 
 /// Hears which entries and endpoints there are, to choose who carries whose orders.
-class CarrierRoster {
+class FleetObserver {
  public:
-  virtual ~CarrierRoster() = default;
+  virtual ~FleetObserver() = default;
 
   /// The members that the group has now, by their names.
   virtual void SetMembers(const std::vector<std::string>& members) = 0;
@@ -79,9 +82,9 @@
 };
 
 /// Reads what others write into the store.
-class RecordReader {
+class RecordFormat {
  public:
-  virtual ~RecordReader() = default;
+  virtual ~RecordFormat() = default;
 
   /// The operators' rules, if the key is that of the rules.
   virtual bool IsPolicyKey(std::string_view key) const = 0;
@@ -136,10 +139,10 @@
   std::unique_ptr<EndpointLink> endpoints;
   std::unique_ptr<VmService> vms;
   std::unique_ptr<AdviceLink> advice;
-  std::unique_ptr<RecordReader> records;
+  std::unique_ptr<RecordFormat> records;
   std::unique_ptr<CallerFormat> callers;
   /// Null where the owner gives all orders itself.
-  CarrierRoster* roster = nullptr;
+  FleetObserver* fleet_observer = nullptr;
 };
 
 }  // namespace chervilspar::job_entry
--- a/include/chervilspar/job_entry/settings.h
+++ b/include/chervilspar/job_entry/settings.h
@@ -47,7 +47,7 @@
 };
 
 /// In how many partitions jobs are stored unless the settings say otherwise.
-inline constexpr std::uint32_t kJobPartitions = 4;
+inline constexpr std::uint32_t kDefaultJobPartitions = 4;
 
 /// Checked settings of an entry that takes, stores and schedules jobs.
 struct JobEntrySettings {
@@ -69,7 +69,7 @@
   /// In how many partitions jobs are stored, at most eight; the same at all entries, and never
   /// fewer than before. A slow store takes a few appends a second in each, and the owner follows
   /// each.
-  std::uint32_t job_partitions = kJobPartitions;
+  std::uint32_t job_partitions = kDefaultJobPartitions;
   /// Callers' keys are trusted for this long after the last sign that the operators' rules are
   /// known to their end.
   Duration key_proof_limit = std::chrono::milliseconds(3500);
--- a/include/chervilspar/job_entry/store.h
+++ b/include/chervilspar/job_entry/store.h
@@ -57,7 +57,7 @@
     /// The sequence doesn't follow the last one.
     kOutOfSequence,
     /// The partition doesn't end where it was expected to; nothing was written.
-    kEndsElsewhere,
+    kEndMismatch,
     /// No whole answer; it may be written, also later.
     kUnknown,
   };
@@ -123,8 +123,9 @@
   virtual boost::asio::awaitable<Result<ReadOutcome>> Read(Topic topic, std::uint32_t partition,
                                                            std::uint64_t from, Duration wait,
                                                            Duration timeout) = 0;
-  virtual boost::asio::awaitable<Result<NewestOutcome>> Newest(Topic topic, std::uint32_t partition,
-                                                               Duration timeout) = 0;
+  virtual boost::asio::awaitable<Result<NewestOutcome>> ReadNewest(Topic topic,
+                                                                   std::uint32_t partition,
+                                                                   Duration timeout) = 0;
   /// Joins the group of possible owners, or stays in it.
   virtual boost::asio::awaitable<Result<Membership>> Join(std::string member,
                                                           std::uint64_t generation,
--- a/src/job_entry/caller_handler.cc
+++ b/src/job_entry/caller_handler.cc
@@ -21,11 +21,11 @@
 }
 
 CallerHandler::CallerHandler(const Context& context, OperatorView& operators, JobWriter& writer,
-                             JobQuestions& questions)
+                             JobQueries& questions)
     : context(context), operators(operators), writer(writer), questions(questions) {}
 
 const CallerFormat& CallerHandler::FormatFor(const http::Request& request) const {
-  if (OwnCallers::IsForIt(request)) {
+  if (NativeCallerFormat::Matches(request)) {
     return this->own;
   }
   return *this->context.links.callers;
--- a/src/job_entry/caller_handler.h
+++ b/src/job_entry/caller_handler.h
@@ -4,10 +4,10 @@
 
 #include "chervilspar/http/server.h"
 
-#include "job_entry/job_questions.h"
+#include "job_entry/job_queries.h"
 #include "job_entry/job_writer.h"
+#include "job_entry/native_caller_format.h"
 #include "job_entry/operator_view.h"
-#include "job_entry/own_callers.h"
 
 namespace chervilspar::job_entry {
 
@@ -15,7 +15,7 @@
 class CallerHandler final : public http::Handler {
  public:
   CallerHandler(const Context& context, OperatorView& operators, JobWriter& writer,
-                JobQuestions& questions);
+                JobQueries& questions);
 
   boost::asio::awaitable<http::Response> Handle(http::Request request,
                                                 std::shared_ptr<http::CancelToken> caller) override;
@@ -38,8 +38,8 @@
   const Context context;
   OperatorView& operators;
   JobWriter& writer;
-  JobQuestions& questions;
-  OwnCallers own;
+  JobQueries& questions;
+  NativeCallerFormat own;
 };
 
 /// An answer that says that nothing was done and when to come back.
--- a/src/job_entry/carried_endpoints.cc
+++ b/src/job_entry/carried_endpoints.cc
@@ -80,8 +80,8 @@
                                     : this->choice.Choose(endpoint, this->context.Now());
 }
 
-std::size_t CarriedEndpoints::OrdersAtOnce(const std::string& endpoint) const {
-  return this->CarrierFor(endpoint) ? kCarriedAtOnce : kOrdersAtOneEndpoint;
+std::size_t CarriedEndpoints::MaxConcurrentOrders(const std::string& endpoint) const {
+  return this->CarrierFor(endpoint) ? kCarriedAtOnce : kMaxOrdersPerEndpoint;
 }
 
 rpc::OrderBatch& CarriedEndpoints::BatchFor(const std::string& carrier, Duration timeout) {
@@ -148,10 +148,11 @@
   co_return none;
 }
 
-asio::awaitable<HeldOutcome> CarriedEndpoints::Hold(jobs::HoldOrder order, Duration timeout) {
+asio::awaitable<RenewalOutcome> CarriedEndpoints::RenewLease(jobs::HoldOrder order,
+                                                             Duration timeout) {
   std::optional<std::string> carrier = this->CarrierFor(order.endpoint);
   if (!carrier) {
-    return this->direct->Hold(std::move(order), timeout);
+    return this->direct->RenewLease(std::move(order), timeout);
   }
   const std::uint64_t number = this->next_number++;
   rpc::OrderBatch& batch = this->BatchFor(*carrier, timeout - order.wait);
@@ -159,10 +160,11 @@
   return this->AwaitReport(*std::move(carrier), number, timeout);
 }
 
-asio::awaitable<HeldOutcome> CarriedEndpoints::AwaitReport(std::string carrier,
-                                                           std::uint64_t number, Duration timeout) {
+asio::awaitable<RenewalOutcome> CarriedEndpoints::AwaitReport(std::string carrier,
+                                                              std::uint64_t number,
+                                                              Duration timeout) {
   rpc::CarriedAnswer answer = co_await this->Await(std::move(carrier), number, timeout);
-  HeldOutcome held;
+  RenewalOutcome held;
   held.outcome = answer.outcome;
   held.report = std::move(answer.report);
   if (held.outcome == OrderOutcome::kDone && !held.report) {
@@ -199,8 +201,8 @@
   return this->Give(std::move(order), timeout, &rpc::OrderBatch::stops, &EndpointLink::Stop);
 }
 
-asio::awaitable<OrderOutcome> CarriedEndpoints::Pace(jobs::PaceOrder order, Duration timeout) {
-  return this->Give(std::move(order), timeout, &rpc::OrderBatch::paces, &EndpointLink::Pace);
+asio::awaitable<OrderOutcome> CarriedEndpoints::Throttle(jobs::PaceOrder order, Duration timeout) {
+  return this->Give(std::move(order), timeout, &rpc::OrderBatch::paces, &EndpointLink::Throttle);
 }
 
 }  // namespace chervilspar::job_entry
--- a/src/job_entry/carried_endpoints.h
+++ b/src/job_entry/carried_endpoints.h
@@ -19,7 +19,7 @@
 
 /// The owner's way to the endpoints: through other entries where there are many endpoints, directly
 /// where there are few or no other entry is near.
-class CarriedEndpoints final : public EndpointLink, public CarrierRoster {
+class CarriedEndpoints final : public EndpointLink, public FleetObserver {
  public:
   CarriedEndpoints(const Context& context, std::unique_ptr<EndpointLink> direct);
 
@@ -31,12 +31,14 @@
   void SetMembers(const std::vector<std::string>& members) override;
   void SetEndpoints(const std::vector<jobs::EndpointRecord>& endpoints) override;
 
-  boost::asio::awaitable<HeldOutcome> Hold(jobs::HoldOrder order, Duration timeout) override;
+  boost::asio::awaitable<RenewalOutcome> RenewLease(jobs::HoldOrder order,
+                                                    Duration timeout) override;
   boost::asio::awaitable<jobs::OrderOutcome> Start(jobs::StartOrder order,
                                                    Duration timeout) override;
   boost::asio::awaitable<jobs::OrderOutcome> Stop(jobs::StopOrder order, Duration timeout) override;
-  boost::asio::awaitable<jobs::OrderOutcome> Pace(jobs::PaceOrder order, Duration timeout) override;
-  std::size_t OrdersAtOnce(const std::string& endpoint) const override;
+  boost::asio::awaitable<jobs::OrderOutcome> Throttle(jobs::PaceOrder order,
+                                                      Duration timeout) override;
+  std::size_t MaxConcurrentOrders(const std::string& endpoint) const override;
 
  private:
   /// An order whose answer is waited for.
@@ -61,8 +63,8 @@
   /// carried out.
   boost::asio::awaitable<rpc::CarriedAnswer> Await(std::string carrier, std::uint64_t number,
                                                    Duration timeout);
-  boost::asio::awaitable<HeldOutcome> AwaitReport(std::string carrier, std::uint64_t number,
-                                                  Duration timeout);
+  boost::asio::awaitable<RenewalOutcome> AwaitReport(std::string carrier, std::uint64_t number,
+                                                     Duration timeout);
   boost::asio::awaitable<jobs::OrderOutcome> AwaitOutcome(std::string carrier, std::uint64_t number,
                                                           Duration timeout);
   rpc::OrderBatch& BatchFor(const std::string& carrier, Duration timeout);
--- a/src/job_entry/context.cc
+++ b/src/job_entry/context.cc
@@ -35,8 +35,8 @@
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-asio::awaitable<bool> AllOf(const Context& context, std::vector<asio::awaitable<bool>> all,
-                            std::size_t at_once) {
+asio::awaitable<bool> RunAll(const Context& context, std::vector<asio::awaitable<bool>> all,
+                             std::size_t at_once) {
   struct Shared {
     std::vector<asio::awaitable<bool>> all;
     std::size_t next = 0;
--- a/src/job_entry/context.h
+++ b/src/job_entry/context.h
@@ -38,9 +38,9 @@
 
 /// Runs all, at most `at_once` side by side; true when all gave true. What they use must live until
 /// they have ended.
-boost::asio::awaitable<bool> AllOf(const Context& context,
-                                   std::vector<boost::asio::awaitable<bool>> all,
-                                   std::size_t at_once);
+boost::asio::awaitable<bool> RunAll(const Context& context,
+                                    std::vector<boost::asio::awaitable<bool>> all,
+                                    std::size_t at_once);
 
 /// One line for a decision or a change of what this process believes.
 void LogEvent(telemetry::LogLevel level, std::string event, std::string message,
--- a/src/job_entry/election.cc
+++ b/src/job_entry/election.cc
@@ -223,9 +223,9 @@
   }
   LogEvent(telemetry::LogLevel::kInfo, "owner_missing", owner->entry + " is not in the group",
            {{"member", owner->member}, {"members", std::to_string(members->size())}});
-  if (this->context.links.roster != nullptr) {
+  if (this->context.links.fleet_observer != nullptr) {
     // What is ordered while the state is read goes through others already.
-    this->context.links.roster->SetMembers(*members);
+    this->context.links.fleet_observer->SetMembers(*members);
   }
   co_return false;
 }
@@ -234,7 +234,8 @@
 /// store is slow.
 void Election::TellMembers() {
   const Look look{this->member, this->generation, this->context.Now()};
-  if (this->context.links.roster == nullptr || this->is_telling || this->told.Covers(look)) {
+  if (this->context.links.fleet_observer == nullptr || this->is_telling ||
+      this->told.Covers(look)) {
     return;
   }
   this->is_telling = true;
@@ -248,7 +249,7 @@
       co_await this->context.links.store->Members(kCallTimeout);
   if (members) {
     this->told = look;
-    this->context.links.roster->SetMembers(*members);
+    this->context.links.fleet_observer->SetMembers(*members);
   }
 }
 
@@ -266,7 +267,7 @@
   records.push_back({kOwnerKey, EncodeClaim(claim)});
   const AppendOutcome outcome = co_await this->context.links.store->AppendAt(
       Topic::kOwners, 0, std::move(records), offset, kClaimTimeout);
-  if (outcome.kind == AppendOutcome::Kind::kEndsElsewhere) {
+  if (outcome.kind == AppendOutcome::Kind::kEndMismatch) {
     LogEvent(telemetry::LogLevel::kInfo, "claim_refused", "another entry has claimed before");
     co_await this->directory.ReadAnew(kCallTimeout);
   }
@@ -301,7 +302,7 @@
   std::vector<asio::awaitable<bool>> parts;
   parts.push_back(this->Claim(offset));
   parts.push_back(this->Announce(writer));
-  const bool is_begun = co_await AllOf(this->context, std::move(parts), 2);
+  const bool is_begun = co_await RunAll(this->context, std::move(parts), 2);
   if (!is_begun || this->is_resigned) {
     co_return;  // claimed again with the next join, if still chosen
   }
--- a/src/job_entry/endpoint_registry.cc
+++ b/src/job_entry/endpoint_registry.cc
@@ -25,7 +25,7 @@
 
 asio::awaitable<bool> EndpointRegistry::Load() {
   const Result<NewestOutcome> newest =
-      co_await this->context.links.store->Newest(Topic::kEndpoints, 0, kLoadTimeout);
+      co_await this->context.links.store->ReadNewest(Topic::kEndpoints, 0, kLoadTimeout);
   if (!newest) {
     co_return false;
   }
--- a/src/job_entry/job_log.cc
+++ b/src/job_entry/job_log.cc
@@ -37,7 +37,7 @@
 
 asio::awaitable<bool> JobLog::LoadPartition(std::uint32_t partition) {
   const Result<NewestOutcome> newest =
-      co_await this->context.links.store->Newest(Topic::kJobs, partition, kLoadTimeout);
+      co_await this->context.links.store->ReadNewest(Topic::kJobs, partition, kLoadTimeout);
   if (!newest) {
     co_return false;
   }
--- a/src/job_entry/job_questions.cc
+++ b/src/job_entry/job_queries.cc
@@ -1,4 +1,4 @@
-#include "job_entry/job_questions.h"
+#include "job_entry/job_queries.h"
 
 #include <boost/json.hpp>
 
@@ -49,11 +49,11 @@
 
 }  // namespace
 
-JobQuestions::JobQuestions(const Context& context, Election& election, OwnerDirectory& directory,
-                           http::Client& client)
+JobQueries::JobQueries(const Context& context, Election& election, OwnerDirectory& directory,
+                       http::Client& client)
     : context(context), election(election), directory(directory), client(client) {}
 
-asio::awaitable<std::optional<http::Response>> JobQuestions::AskOwner(std::string target) {
+asio::awaitable<std::optional<http::Response>> JobQueries::AskOwner(std::string target) {
   const std::optional<OwnerClaim> owner = this->directory.Owner();
   if (!owner || owner->address == this->context.settings.peers) {
     co_return std::nullopt;
@@ -69,7 +69,7 @@
   co_return exchange.response;
 }
 
-asio::awaitable<OwnerTerm::Answer> JobQuestions::Find(jobs::JobId id) {
+asio::awaitable<OwnerTerm::Answer> JobQueries::Find(jobs::JobId id) {
   using Knowledge = OwnerTerm::Knowledge;
   if (const std::shared_ptr<OwnerTerm> term = this->election.Term()) {
     co_return term->Find(id);
@@ -87,7 +87,7 @@
   co_return OwnerTerm::Answer{Knowledge::kKnown, *phase};
 }
 
-asio::awaitable<std::optional<std::uint64_t>> JobQuestions::PendingIn(std::string queue) {
+asio::awaitable<std::optional<std::uint64_t>> JobQueries::PendingIn(std::string queue) {
   if (const std::shared_ptr<OwnerTerm> term = this->election.Term()) {
     co_return term->PendingIn(queue);
   }
--- a/src/job_entry/job_questions.h
+++ b/src/job_entry/job_queries.h
@@ -14,10 +14,10 @@
 namespace chervilspar::job_entry {
 
 /// Answers what callers ask about jobs: from this entry's own term, or by asking the owner.
-class JobQuestions {
+class JobQueries {
  public:
-  JobQuestions(const Context& context, Election& election, OwnerDirectory& directory,
-               http::Client& client);
+  JobQueries(const Context& context, Election& election, OwnerDirectory& directory,
+             http::Client& client);
 
   boost::asio::awaitable<OwnerTerm::Answer> Find(jobs::JobId id);
   /// Nothing when the owner can't be asked.
--- a/src/job_entry/lease_keeper.cc
+++ b/src/job_entry/lease_keeper.cc
@@ -50,8 +50,8 @@
 asio::awaitable<void> LeaseKeeper::Carry([[maybe_unused]] std::shared_ptr<LeaseKeeper> self,
                                          jobs::HoldOrder order) {
   const std::string endpoint = order.endpoint;
-  const HeldOutcome held =
-      co_await this->context.links.endpoints->Hold(std::move(order), kHoldTimeout);
+  const RenewalOutcome held =
+      co_await this->context.links.endpoints->RenewLease(std::move(order), kHoldTimeout);
   if (this->is_stopped) {
     co_return;
   }
--- a/src/job_entry/own_callers.cc
+++ b/src/job_entry/native_caller_format.cc
@@ -1,4 +1,4 @@
-#include "job_entry/own_callers.h"
+#include "job_entry/native_caller_format.h"
 
 #include <boost/json.hpp>
 
@@ -27,11 +27,12 @@
 
 }  // namespace
 
-bool OwnCallers::IsForIt(const http::Request& request) {
+bool NativeCallerFormat::Matches(const http::Request& request) {
   return http::PathOf(request.target).starts_with(kPrefix);
 }
 
-CallerCall OwnCallers::Read(const http::Request& request, const jobs::Policy& policy) const {
+CallerCall NativeCallerFormat::Read(const http::Request& request,
+                                    const jobs::Policy& policy) const {
   CallerCall call;
   const std::vector<std::string_view> parts = http::PathSegments(request.target);
   if (parts.size() <= kJobsPart || parts[kJobsPart] != "jobs") {
@@ -49,21 +50,21 @@
   return call;
 }
 
-Result<jobs::Job> OwnCallers::ReadJob(const http::Request& request) const {
+Result<jobs::Job> NativeCallerFormat::ReadJob(const http::Request& request) const {
   return jobs::ReadJobBody(request.body);
 }
 
-http::Response OwnCallers::Accepted() const { return JsonAnswer({}); }
+http::Response NativeCallerFormat::Accepted() const { return JsonAnswer({}); }
 
-http::Response OwnCallers::Phase(jobs::JobPhase phase) const {
+http::Response NativeCallerFormat::Phase(jobs::JobPhase phase) const {
   return JsonAnswer({{"phase", jobs::ToString(phase)}});
 }
 
-http::Response OwnCallers::Pending(std::uint64_t count) const {
+http::Response NativeCallerFormat::Pending(std::uint64_t count) const {
   return JsonAnswer({{"pending", count}});
 }
 
-http::Response OwnCallers::NoSuchJob() const {
+http::Response NativeCallerFormat::NoSuchJob() const {
   return http::ErrorResponse(kGone, "not_found", "There is no such job, and there was none.");
 }
 
--- a/src/job_entry/own_callers.h
+++ b/src/job_entry/native_caller_format.h
@@ -12,9 +12,9 @@
 ///     GET    /v1/queues/QUEUE/jobs      200 {"pending":3}
 ///
 /// with `Authorization: Bearer KEY`.
-class OwnCallers final : public CallerFormat {
+class NativeCallerFormat final : public CallerFormat {
  public:
-  static bool IsForIt(const http::Request& request);
+  static bool Matches(const http::Request& request);
 
   CallerCall Read(const http::Request& request, const jobs::Policy& policy) const override;
   Result<jobs::Job> ReadJob(const http::Request& request) const override;
--- a/src/job_entry/order_carrier.cc
+++ b/src/job_entry/order_carrier.cc
@@ -32,7 +32,7 @@
   }
   std::shared_ptr<WorkLane>& lane = this->lanes[endpoint];
   if (lane == nullptr) {
-    lane = std::make_shared<WorkLane>(this->context, kOrdersAtOneEndpoint);
+    lane = std::make_shared<WorkLane>(this->context, kMaxOrdersPerEndpoint);
   }
   return *lane;
 }
@@ -63,11 +63,11 @@
   }
   for (const auto& pace : batch.paces) {
     this->Queue(pace, origin, [this](const jobs::PaceOrder& order, Duration timeout) {
-      return this->link.Pace(order, timeout);
+      return this->link.Throttle(order, timeout);
     });
   }
   for (const auto& hold : batch.holds) {
-    Spawn(this->context, this->Hold(hold, origin));
+    Spawn(this->context, this->RenewLease(hold, origin));
   }
 }
 
@@ -78,9 +78,10 @@
   co_return co_await this->link.Start(std::move(order), timeout);
 }
 
-asio::awaitable<void> OrderCarrier::Hold(rpc::Carried<jobs::HoldOrder> carried, Origin origin) {
+asio::awaitable<void> OrderCarrier::RenewLease(rpc::Carried<jobs::HoldOrder> carried,
+                                               Origin origin) {
   const Duration timeout = origin.timeout + carried.order.wait;
-  HeldOutcome held = co_await this->link.Hold(std::move(carried.order), timeout);
+  RenewalOutcome held = co_await this->link.RenewLease(std::move(carried.order), timeout);
   this->Answer(origin, {carried.number, held.outcome, std::move(held.report)});
 }
 
--- a/src/job_entry/order_carrier.h
+++ b/src/job_entry/order_carrier.h
@@ -40,7 +40,7 @@
   template <typename Order, typename Carry>
   void Queue(const rpc::Carried<Order>& carried, const Origin& origin, Carry carry);
   boost::asio::awaitable<jobs::OrderOutcome> Start(jobs::StartOrder order, Duration timeout);
-  boost::asio::awaitable<void> Hold(rpc::Carried<jobs::HoldOrder> carried, Origin origin);
+  boost::asio::awaitable<void> RenewLease(rpc::Carried<jobs::HoldOrder> carried, Origin origin);
   void Answer(const Origin& origin, rpc::CarriedAnswer answer);
   WorkLane& LaneOf(const std::string& endpoint);
 
--- a/src/job_entry/order_exchange.cc
+++ b/src/job_entry/order_exchange.cc
@@ -33,7 +33,7 @@
   this->transport = std::move(opened).Value();
   this->carrier.emplace(this->context, this->endpoints.Direct(), *this->transport);
   this->endpoints.Open(*this->transport, address);
-  links.roster = &this->endpoints;
+  links.fleet_observer = &this->endpoints;
   return Done{};
 }
 
--- a/src/job_entry/order_sender.cc
+++ b/src/job_entry/order_sender.cc
@@ -42,7 +42,7 @@
         wakeup(std::make_shared<http::Wakeup>(sender.context.io.get_executor())) {}
 
   void StartSenders() {
-    const std::size_t most = this->context.links.endpoints->OrdersAtOnce(this->endpoint);
+    const std::size_t most = this->context.links.endpoints->MaxConcurrentOrders(this->endpoint);
     while (this->senders < std::min(most, this->queue.size())) {
       ++this->senders;
       Spawn(this->context, this->SendLoop(this->shared_from_this()));
@@ -85,7 +85,8 @@
   }
 
   asio::awaitable<void> Carry(const jobs::PaceOrder& order) {
-    const OrderOutcome outcome = co_await this->context.links.endpoints->Pace(order, kOrderTimeout);
+    const OrderOutcome outcome =
+        co_await this->context.links.endpoints->Throttle(order, kOrderTimeout);
     this->context.metrics.Count(
         {"chervilspar_paces_total", {{"outcome", jobs::ToString(outcome)}}});
     if (!this->is_stopped) {
@@ -102,7 +103,7 @@
         continue;
       }
       const TimePoint begin = this->context.Now();
-      const bool is_held = co_await this->Hold(plan.order);
+      const bool is_held = co_await this->RenewLease(plan.order);
       if (this->is_stopped) {
         break;
       }
@@ -129,10 +130,10 @@
     this->is_held = is_needed;
   }
 
-  asio::awaitable<bool> Hold(const jobs::HoldOrder& order) {
+  asio::awaitable<bool> RenewLease(const jobs::HoldOrder& order) {
     const TimePoint sent = this->context.Now();
-    const HeldOutcome held =
-        co_await this->context.links.endpoints->Hold(order, order.wait + kHoldMargin);
+    const RenewalOutcome held =
+        co_await this->context.links.endpoints->RenewLease(order, order.wait + kHoldMargin);
     if (this->is_stopped) {
       co_return false;
     }
--- a/src/job_entry/owner_directory.cc
+++ b/src/job_entry/owner_directory.cc
@@ -55,7 +55,7 @@
 boost::asio::awaitable<bool> OwnerDirectory::IsNewestClaim(std::string member,
                                                            Duration timeout) const {
   const Result<NewestOutcome> newest =
-      co_await this->context.links.store->Newest(Topic::kOwners, 0, timeout);
+      co_await this->context.links.store->ReadNewest(Topic::kOwners, 0, timeout);
   if (!newest) {
     co_return false;
   }
@@ -72,7 +72,7 @@
 /// claims, and this one takes a former owner for the newest for as long as the read may wait.
 boost::asio::awaitable<void> OwnerDirectory::ReadAnew(Duration timeout) {
   const Result<NewestOutcome> newest =
-      co_await this->context.links.store->Newest(Topic::kOwners, 0, timeout);
+      co_await this->context.links.store->ReadNewest(Topic::kOwners, 0, timeout);
   if (newest && this->NextClaim() < newest->next) {
     this->next_read = newest->next;
     this->OnRecords(newest->records);
--- a/src/job_entry/owner_term.cc
+++ b/src/job_entry/owner_term.cc
@@ -138,8 +138,8 @@
 void OwnerTerm::SetEndpoints() {
   const std::vector<jobs::EndpointRecord> endpoints = this->registry.Endpoints();
   this->scheduler.SetEndpoints(endpoints, this->context.Now());
-  if (this->context.links.roster != nullptr) {
-    this->context.links.roster->SetEndpoints(endpoints);
+  if (this->context.links.fleet_observer != nullptr) {
+    this->context.links.fleet_observer->SetEndpoints(endpoints);
   }
 }
 
--- a/src/job_entry/owner_term_load.cc
+++ b/src/job_entry/owner_term_load.cc
@@ -34,7 +34,7 @@
   parts.push_back(this->registry.Load());
   parts.push_back(this->ReadProgress(progress));
   const bool is_read =
-      co_await AllOf(this->context, std::move(parts), static_cast<std::size_t>(at_once));
+      co_await RunAll(this->context, std::move(parts), static_cast<std::size_t>(at_once));
   if (!is_read) {
     co_return false;
   }
@@ -61,8 +61,8 @@
   }
   this->is_keeping = true;
   const std::vector<jobs::EndpointRecord> endpoints = this->registry.Endpoints();
-  if (this->context.links.roster != nullptr) {
-    this->context.links.roster->SetEndpoints(endpoints);
+  if (this->context.links.fleet_observer != nullptr) {
+    this->context.links.fleet_observer->SetEndpoints(endpoints);
   }
   this->keeper->Start(endpoints);
   co_await this->keeper->Settle(kHeadStart);
@@ -70,7 +70,7 @@
 
 asio::awaitable<bool> OwnerTerm::ReadProgress(std::vector<KeyedRecord>& records) {
   Result<NewestOutcome> progress =
-      co_await this->context.links.store->Newest(Topic::kProgress, 0, kLoadTimeout);
+      co_await this->context.links.store->ReadNewest(Topic::kProgress, 0, kLoadTimeout);
   if (!progress) {
     co_return false;
   }
--- a/src/job_entry/progress_writer.cc
+++ b/src/job_entry/progress_writer.cc
@@ -43,7 +43,7 @@
                   {"expected", std::to_string(outcome.expected)}});
         this->sequence = outcome.expected;
         continue;
-      case AppendOutcome::Kind::kEndsElsewhere:
+      case AppendOutcome::Kind::kEndMismatch:
       case AppendOutcome::Kind::kNotStored:
       case AppendOutcome::Kind::kUnknown:
         this->context.metrics.Count({"chervilspar_progress_retries_total", {}});
--- a/src/job_entry/record_tail.cc
+++ b/src/job_entry/record_tail.cc
@@ -47,7 +47,7 @@
 
 asio::awaitable<bool> RecordTail::Resync() {
   const TimePoint sent = this->context.Now();
-  const Result<NewestOutcome> newest = co_await this->context.links.store->Newest(
+  const Result<NewestOutcome> newest = co_await this->context.links.store->ReadNewest(
       this->options.topic, this->options.partition, kNewestTimeout);
   if (this->is_stopped) {
     co_return false;
--- a/src/job_entry/run_job_entry.cc
+++ b/src/job_entry/run_job_entry.cc
@@ -198,7 +198,7 @@
   PeerRelay relay;
   std::shared_ptr<JobWriter> writer;
   std::shared_ptr<Election> election;
-  JobQuestions questions;
+  JobQueries questions;
   CallerHandler callers;
   PeerHandler peers;
   HealthHandler health;
--- a/src/job_entry/vm_driver.cc
+++ b/src/job_entry/vm_driver.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "job_entry/vm_list_pace.h"
+#include "job_entry/vm_list_interval.h"
 
 namespace chervilspar::job_entry {
 
@@ -76,7 +76,7 @@
 /// What can go wrong: a predecessor's last reboot began after the list was read, and more VMs of a
 /// wave go down than may. So the first orders of a term need a list that is newer than the pause.
 asio::awaitable<bool> VmDriver::ReadList(TimePoint first_order) {
-  const Duration pace = VmListPace(this->vms.size(), this->context.settings.link_rate);
+  const Duration pace = VmListInterval(this->vms.size(), this->context.settings.link_rate);
   const TimePoint asked = this->context.Now();
   const bool is_before_orders = this->listed <= first_order && asked > first_order;
   if (!this->vms.empty() && asked - this->listed < pace && !is_before_orders) {
--- a/src/job_entry/vm_list_pace.cc
+++ b/src/job_entry/vm_list_interval.cc
@@ -1,4 +1,4 @@
-#include "job_entry/vm_list_pace.h"
+#include "job_entry/vm_list_interval.h"
 
 #include <algorithm>
 
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-Duration VmListPace(std::size_t vms, double link_rate) {
+Duration VmListInterval(std::size_t vms, double link_rate) {
   const double bits = static_cast<double>(vms) * kBytesPerVm * kBitsPerByte;
   const std::chrono::duration<double> by_link(bits / (link_rate * kBitsPerMegabit * kShareOfLink));
   const Duration by_vms = std::min<Duration>(kLongestPace, kPacePerVm * static_cast<int>(vms));
--- a/src/job_entry/vm_list_pace.h
+++ b/src/job_entry/vm_list_interval.h
@@ -12,6 +12,6 @@
 /// The load that it answers: an owner on a link of a few megabits a second, which starts, renewals
 /// and progress fill in each peak, while the list alone would take a fifth of it.
 /// `link_rate`: megabits a second of this entry's link.
-Duration VmListPace(std::size_t vms, double link_rate);
+Duration VmListInterval(std::size_t vms, double link_rate);
 
 }  // namespace chervilspar::job_entry
--- a/tests/job_entry/fake_endpoints.cc
+++ b/tests/job_entry/fake_endpoints.cc
@@ -92,8 +92,9 @@
   co_return this->is_cut || found.is_dark ? nullptr : &found;
 }
 
-asio::awaitable<HeldOutcome> FakeEndpointLink::Hold(jobs::HoldOrder order, Duration timeout) {
-  HeldOutcome held;
+asio::awaitable<RenewalOutcome> FakeEndpointLink::RenewLease(jobs::HoldOrder order,
+                                                             Duration timeout) {
+  RenewalOutcome held;
   const TimePoint give_up = Now() + order.wait;
   const std::int64_t born_ms = this->all.endpoints[order.endpoint].born_ms;
   FakeEndpoints::Endpoint* endpoint = co_await this->Reach(order.endpoint, timeout);
@@ -200,7 +201,7 @@
   co_return OrderOutcome::kDone;
 }
 
-asio::awaitable<OrderOutcome> FakeEndpointLink::Pace(jobs::PaceOrder order, Duration timeout) {
+asio::awaitable<OrderOutcome> FakeEndpointLink::Throttle(jobs::PaceOrder order, Duration timeout) {
   FakeEndpoints::Endpoint* endpoint = co_await this->Reach(order.endpoint, timeout);
   co_return endpoint == nullptr ? OrderOutcome::kNoAnswer : OrderOutcome::kDone;
 }
--- a/tests/job_entry/fake_endpoints.h
+++ b/tests/job_entry/fake_endpoints.h
@@ -67,11 +67,13 @@
  public:
   explicit FakeEndpointLink(FakeEndpoints& all) : all(all) {}
 
-  boost::asio::awaitable<HeldOutcome> Hold(jobs::HoldOrder order, Duration timeout) override;
+  boost::asio::awaitable<RenewalOutcome> RenewLease(jobs::HoldOrder order,
+                                                    Duration timeout) override;
   boost::asio::awaitable<jobs::OrderOutcome> Start(jobs::StartOrder order,
                                                    Duration timeout) override;
   boost::asio::awaitable<jobs::OrderOutcome> Stop(jobs::StopOrder order, Duration timeout) override;
-  boost::asio::awaitable<jobs::OrderOutcome> Pace(jobs::PaceOrder order, Duration timeout) override;
+  boost::asio::awaitable<jobs::OrderOutcome> Throttle(jobs::PaceOrder order,
+                                                      Duration timeout) override;
 
   bool is_cut = false;
   /// What the endpoints answer comes this much later.
--- a/tests/job_entry/fake_fleet.h
+++ b/tests/job_entry/fake_fleet.h
@@ -62,7 +62,7 @@
 
 /// Reads the records that the tests write: rules "version", endpoints by name, in zone "z" unless
 /// their value is "zone:" with another, and cordons.
-class FakeRecords final : public RecordReader {
+class FakeRecords final : public RecordFormat {
  public:
   bool IsPolicyKey(std::string_view key) const override { return key == "rules"; }
   Result<jobs::Policy> ReadPolicy(std::string_view value) const override;
--- a/tests/job_entry/fake_store.cc
+++ b/tests/job_entry/fake_store.cc
@@ -80,7 +80,7 @@
   }
   co_await this->Wait(before + this->store.append_time);
   if (end && *end != at.records.size()) {
-    outcome.kind = AppendOutcome::Kind::kEndsElsewhere;
+    outcome.kind = AppendOutcome::Kind::kEndMismatch;
     co_return outcome;
   }
   bool is_repeat = false;
@@ -145,8 +145,9 @@
   }
 }
 
-asio::awaitable<Result<NewestOutcome>> FakeStoreLink::Newest(Topic topic, std::uint32_t partition,
-                                                             Duration timeout) {
+asio::awaitable<Result<NewestOutcome>> FakeStoreLink::ReadNewest(Topic topic,
+                                                                 std::uint32_t partition,
+                                                                 Duration timeout) {
   const int reads = ++this->reads[topic];
   this->most_reads[topic] = std::max(this->most_reads[topic], reads);
   const bool is_reached = co_await this->Reach(timeout);
--- a/tests/job_entry/fake_store.h
+++ b/tests/job_entry/fake_store.h
@@ -65,8 +65,8 @@
   boost::asio::awaitable<Result<ReadOutcome>> Read(Topic topic, std::uint32_t partition,
                                                    std::uint64_t from, Duration wait,
                                                    Duration timeout) override;
-  boost::asio::awaitable<Result<NewestOutcome>> Newest(Topic topic, std::uint32_t partition,
-                                                       Duration timeout) override;
+  boost::asio::awaitable<Result<NewestOutcome>> ReadNewest(Topic topic, std::uint32_t partition,
+                                                           Duration timeout) override;
   boost::asio::awaitable<Result<Membership>> Join(std::string member, std::uint64_t generation,
                                                   Duration time_to_live, Duration timeout) override;
   boost::asio::awaitable<Result<std::vector<std::string>>> Members(Duration timeout) override;
--- a/tests/job_entry/fleet_test.cc
+++ b/tests/job_entry/fleet_test.cc
@@ -329,7 +329,7 @@
   submit();
   const auto newest = [&] {
     std::optional<std::string> value;
-    for (std::uint32_t partition = 0; partition < kJobPartitions; ++partition) {
+    for (std::uint32_t partition = 0; partition < kDefaultJobPartitions; ++partition) {
       for (const KeyedRecord& record : fleet.store.At(Topic::kJobs, partition).records) {
         value = record.key == SubmissionKey(job.id) ? record.value : value;
       }
--- a/tests/job_entry/job_writer_test.cc
+++ b/tests/job_entry/job_writer_test.cc
@@ -43,7 +43,7 @@
   ASSERT_TRUE(verdict);
   EXPECT_EQ(*verdict, GetParam().verdict);
   std::set<std::string> keys;
-  for (std::uint32_t partition = 0; partition < kJobPartitions; ++partition) {
+  for (std::uint32_t partition = 0; partition < kDefaultJobPartitions; ++partition) {
     for (const KeyedRecord& record : fleet.store.At(Topic::kJobs, partition).records) {
       keys.insert(record.key);
     }
--- a/tests/job_entry/own_callers_test.cc
+++ b/tests/job_entry/native_caller_format_test.cc
@@ -1,4 +1,4 @@
-#include "job_entry/own_callers.h"
+#include "job_entry/native_caller_format.h"
 
 #include <gtest/gtest.h>
 
@@ -23,7 +23,7 @@
   request.method = GetParam().method;
   request.target = GetParam().target;
   request.headers.Add("Authorization", "Bearer key");
-  const CallerCall call = OwnCallers().Read(request, policy);
+  const CallerCall call = NativeCallerFormat().Read(request, policy);
   EXPECT_EQ(call.queue != nullptr, GetParam().has_queue);
   EXPECT_EQ(call.id.has_value(), GetParam().has_id);
   if (call.queue != nullptr) {
@@ -62,7 +62,7 @@
 TEST_P(OwnBodies, NameTheFieldThatIsWrong) {
   http::Request request;
   request.body = GetParam().body;
-  const Result<jobs::Job> job = OwnCallers().ReadJob(request);
+  const Result<jobs::Job> job = NativeCallerFormat().ReadJob(request);
   if (GetParam().field == nullptr) {
     ASSERT_TRUE(job);
     EXPECT_TRUE(jobs::CheckJob(*job));
--- a/tests/job_entry/vm_list_pace_test.cc
+++ b/tests/job_entry/vm_list_interval_test.cc
@@ -1,4 +1,4 @@
-#include "job_entry/vm_list_pace.h"
+#include "job_entry/vm_list_interval.h"
 
 #include <gtest/gtest.h>
 
@@ -20,7 +20,7 @@
 /// Guards against a list of VMs that takes the link from starts and renewals, and against one so
 /// old that waves stand still.
 TEST_P(ListPace, FollowsTheListAndTheLink) {
-  const Duration pace = VmListPace(GetParam().vms, GetParam().link_rate);
+  const Duration pace = VmListInterval(GetParam().vms, GetParam().link_rate);
   EXPECT_GE(pace, GetParam().least);
   EXPECT_LE(pace, GetParam().most);
 }
--- a/tests/job_entry/zone_cordon_test.cc
+++ b/tests/job_entry/zone_cordon_test.cc
@@ -148,8 +148,8 @@
     return world.entry->Find(jobs::JobId{1}).knowledge == OwnerTerm::Knowledge::kNoSuchJob;
   });
   http::Client client({}, {}, nullptr);
-  JobQuestions questions(world.entry->context, *world.entry->election, world.entry->directory,
-                         client);
+  JobQueries questions(world.entry->context, *world.entry->election, world.entry->directory,
+                       client);
   CallerHandler handler(world.entry->context, world.entry->operators, *world.entry->writer,
                         questions);
   http::Request request;
--- a/tests/soak/store_server.cc
+++ b/tests/soak/store_server.cc
@@ -84,7 +84,7 @@
     co_return co_await this->Read(request);
   }
   if (path == "/-/log-newest" && TopicIn(request)) {
-    co_return co_await this->Newest(request);
+    co_return co_await this->ReadNewest(request);
   }
   if (path == "/-/log-join") {
     co_return co_await this->Join(request);
@@ -129,7 +129,7 @@
       co_return Answer(409, {{"reason", "fenced"}});
     case AppendOutcome::Kind::kOutOfSequence:
       co_return Answer(409, {{"reason", "seq"}, {"seq", outcome.expected}});
-    case AppendOutcome::Kind::kEndsElsewhere:
+    case AppendOutcome::Kind::kEndMismatch:
       co_return Answer(412, {});
     case AppendOutcome::Kind::kNotStored:
       co_return Answer(503, {});
@@ -153,10 +153,10 @@
   co_return response;
 }
 
-asio::awaitable<http::Response> StoreServer::Newest(const http::Request& request) {
+asio::awaitable<http::Response> StoreServer::ReadNewest(const http::Request& request) {
   const auto part = static_cast<std::uint32_t>(NumberIn(request, "part"));
   const Result<job_entry::NewestOutcome> newest =
-      co_await this->link.Newest(*TopicIn(request), part, kDownWait);
+      co_await this->link.ReadNewest(*TopicIn(request), part, kDownWait);
   if (!newest) {
     co_return Answer(503, {});
   }
--- a/tests/soak/store_server.h
+++ b/tests/soak/store_server.h
@@ -22,7 +22,7 @@
  private:
   boost::asio::awaitable<http::Response> Append(const http::Request& request);
   boost::asio::awaitable<http::Response> Read(const http::Request& request);
-  boost::asio::awaitable<http::Response> Newest(const http::Request& request);
+  boost::asio::awaitable<http::Response> ReadNewest(const http::Request& request);
   boost::asio::awaitable<http::Response> Join(const http::Request& request);
   boost::asio::awaitable<http::Response> Members();
 };
--- a/tests/soak/worker_server.cc
+++ b/tests/soak/worker_server.cc
@@ -64,7 +64,7 @@
   }
   const std::string_view path = http::PathOf(request.target);
   if (path == "/-/hold") {
-    co_return co_await this->Hold(request);
+    co_return co_await this->RenewLease(request);
   }
   if (path == "/-/run-start") {
     co_return co_await this->Start(request);
@@ -84,7 +84,7 @@
   co_return AnswerTo(outcome);
 }
 
-asio::awaitable<http::Response> WorkerServer::Hold(const http::Request& request) {
+asio::awaitable<http::Response> WorkerServer::RenewLease(const http::Request& request) {
   const Result<json::object> body = adapter::ParseObject(request.body);
   if (!body) {
     co_return Answer(400, {});
@@ -98,7 +98,8 @@
   if (fields.Has("until_ms")) {
     order.lease_end_ms = fields.Number("until_ms");
   }
-  const job_entry::HeldOutcome held = co_await this->link.Hold(std::move(order), kDarkWait);
+  const job_entry::RenewalOutcome held =
+      co_await this->link.RenewLease(std::move(order), kDarkWait);
   if (!held.report) {
     co_return AnswerTo(held.outcome);
   }
--- a/tests/soak/worker_server.h
+++ b/tests/soak/worker_server.h
@@ -25,7 +25,7 @@
                                                 std::shared_ptr<http::CancelToken>) override;
 
  private:
-  boost::asio::awaitable<http::Response> Hold(const http::Request& request);
+  boost::asio::awaitable<http::Response> RenewLease(const http::Request& request);
   boost::asio::awaitable<http::Response> Start(const http::Request& request);
   void CheckTurn(const jobs::TaskKey& task);
 
