--- a/include/chervilspar/job_entry/links.h
+++ b/include/chervilspar/job_entry/links.h
@@ -20,47 +20,50 @@
 
 namespace chervilspar::job_entry {
 
-/// What a renewal gave.
+/// The result of a lease renewal.
 struct RenewalOutcome {
   jobs::OrderOutcome outcome = jobs::OrderOutcome::kNoAnswer;
-  /// There exactly when `outcome` is `kDone`.
+  /// Set exactly when `outcome` is `kDone`.
   std::optional<jobs::HoldReport> report;
 };
 
-/// Orders to one endpoint that are under way at once. An order takes 1 to 4 ms, a new connection
-/// costs more than that; a few connections carry a burst of sixteen starts in some 20 ms.
+/// Maximum number of orders in flight to one endpoint. An order takes 1 to 4 ms and a new
+/// connection costs more; a few connections carry a burst of sixteen starts in about 20 ms.
 constexpr std::size_t kMaxOrdersPerEndpoint = 3;
 
-/// Orders to endpoints.
+/// Sends orders to endpoints.
 class EndpointLink {
  public:
   virtual ~EndpointLink() = default;
 
+  /// Renews the endpoint's lease and returns the endpoint's report.
   virtual boost::asio::awaitable<RenewalOutcome> RenewLease(jobs::HoldOrder order,
                                                             Duration timeout) = 0;
   virtual boost::asio::awaitable<jobs::OrderOutcome> Start(jobs::StartOrder order,
                                                            Duration timeout) = 0;
   virtual boost::asio::awaitable<jobs::OrderOutcome> Stop(jobs::StopOrder order,
                                                           Duration timeout) = 0;
+  /// Sets the share of its full speed at which a run works.
   virtual boost::asio::awaitable<jobs::OrderOutcome> Throttle(jobs::PaceOrder order,
                                                               Duration timeout) = 0;
-  /// How many orders other than holds should be under way to this endpoint at once.
+  /// Maximum number of orders in flight to this endpoint, not counting lease renewals.
   virtual std::size_t MaxConcurrentOrders(const std::string&) const {
     return kMaxOrdersPerEndpoint;
   }
 };
 
-/// Hears which entries and endpoints there are, to choose who carries whose orders.
+/// Is notified of the current entries and endpoints, to choose the entry that forwards the orders
+/// to each endpoint.
 class FleetObserver {
  public:
   virtual ~FleetObserver() = default;
 
-  /// The members that the group has now, by their names.
+  /// Replaces the names of the members that the group currently has.
   virtual void SetMembers(const std::vector<std::string>& members) = 0;
   virtual void SetEndpoints(const std::vector<jobs::EndpointRecord>& endpoints) = 0;
 };
 
-/// The platform's service for VMs.
+/// The platform's VM service.
 class VmService {
  public:
   virtual ~VmService() = default;
@@ -72,7 +75,7 @@
                                                             Duration timeout) = 0;
 };
 
-/// Says on which endpoints a step may run.
+/// Asks the platform's advice service on which endpoints a step may run.
 class AdviceLink {
  public:
   virtual ~AdviceLink() = default;
@@ -81,59 +84,61 @@
       jobs::AdviceQuestion question, Duration timeout) = 0;
 };
 
-/// Reads what others write into the store.
+/// Reads the records that operators and endpoints write into the store, and writes those meant for
+/// operators.
 class RecordFormat {
  public:
   virtual ~RecordFormat() = default;
 
-  /// The operators' rules, if the key is that of the rules.
+  /// Whether the record of this key holds the operators' rules.
   virtual bool IsPolicyKey(std::string_view key) const = 0;
   virtual Result<jobs::Policy> ReadPolicy(std::string_view value) const = 0;
   virtual Result<jobs::EndpointRecord> ReadEndpoint(std::string_view key,
                                                     std::string_view value) const = 0;
   virtual bool IsCordonKey(std::string_view key) const = 0;
-  /// The zone that a cordon's record names; without value it is the record's removal.
+  /// The zone that a cordon record names; a record without a value removes the cordon.
   virtual Result<ZoneId> ReadCordon(std::string_view key,
                                     const std::optional<std::string>& value) const = 0;
   virtual bool IsWaveKey(std::string_view key) const = 0;
   virtual Result<jobs::Wave> ReadWave(std::string_view value) const = 0;
-  /// The record that tells operators how far a wave is.
+  /// The record that reports a wave's progress to operators.
   virtual KeyedRecord WriteWaveStatus(const jobs::Wave& wave, bool is_complete) const = 0;
 };
 
-/// What a caller asks for.
+/// The operation that a caller requests.
 enum class CallerAction { kSubmit, kFind, kCancel, kCountPending, kUnknown };
 
-/// What a request's method asks for; a job's id tells a job from its queue.
+/// The action of a request with this HTTP method; `has_id` is whether the path names a job rather
+/// than its queue.
 CallerAction ActionOf(std::string_view method, bool has_id);
 
-/// A caller's request in the product's own terms.
+/// A caller's request, independent of the format in which it arrived.
 struct CallerCall {
   CallerAction action = CallerAction::kUnknown;
-  /// The queue by its host and path; null when there is none.
+  /// The queue that the host and path name; null if it does not exist.
   const jobs::Queue* queue = nullptr;
   std::string key;
   std::optional<jobs::JobId> id;
-  /// What is asked for in the rest of the path, for messages.
+  /// The job id as written in the path, for error messages.
   std::string id_text;
 };
 
-/// Reads callers' requests and writes their answers.
+/// Parses callers' requests and formats their responses.
 class CallerFormat {
  public:
   virtual ~CallerFormat() = default;
 
   virtual CallerCall Read(const http::Request& request, const jobs::Policy& policy) const = 0;
-  /// The job in a submission, without queue, team and time.
+  /// The job in a submission; its queue, team and time are not set.
   virtual Result<jobs::Job> ReadJob(const http::Request& request) const = 0;
   virtual http::Response Accepted() const = 0;
   virtual http::Response Phase(jobs::JobPhase phase) const = 0;
   virtual http::Response Pending(std::uint64_t count) const = 0;
-  /// There is no such job, and there was none.
+  /// The response for a job that does not exist and never did.
   virtual http::Response NoSuchJob() const = 0;
 };
 
-/// All that an entry needs from outside.
+/// The external services and formats that an entry depends on.
 struct Links {
   std::unique_ptr<Store> store;
   std::unique_ptr<EndpointLink> endpoints;
@@ -141,7 +146,7 @@
   std::unique_ptr<AdviceLink> advice;
   std::unique_ptr<RecordFormat> records;
   std::unique_ptr<CallerFormat> callers;
-  /// Null where the owner gives all orders itself.
+  /// Null if the owner sends all orders directly.
   FleetObserver* fleet_observer = nullptr;
 };
 
--- a/include/chervilspar/job_entry/run_job_entry.h
+++ b/include/chervilspar/job_entry/run_job_entry.h
@@ -10,14 +10,15 @@
 
 namespace chervilspar::job_entry {
 
-/// Makes the links to the platform that an entry runs on.
+/// Creates the links between an entry and its platform.
 class LinkFactory {
  public:
   virtual ~LinkFactory() = default;
   virtual Links Make(const JobEntrySettings& settings, http::Client& client) = 0;
 };
 
-/// Runs an entry that takes, stores and schedules jobs, until SIGTERM; gives the exit code.
+/// Runs an entry that accepts, stores and schedules jobs until SIGTERM or SIGINT. Returns the exit
+/// code; once the entry serves, exits the process with it instead of returning.
 int RunJobEntry(const JobEntrySettings& settings, LinkFactory& factory);
 
 }  // namespace chervilspar::job_entry
--- a/include/chervilspar/job_entry/settings.h
+++ b/include/chervilspar/job_entry/settings.h
@@ -14,7 +14,7 @@
 
 namespace chervilspar::job_entry {
 
-/// Settings as given in flags and environment variables, not yet checked. Empty means not given.
+/// Unchecked settings from flags and environment variables. An empty value means not given.
 struct RawJobEntrySettings {
   std::string id;
   std::string zone;
@@ -46,56 +46,59 @@
   friend bool operator==(const RawJobEntrySettings&, const RawJobEntrySettings&) = default;
 };
 
-/// In how many partitions jobs are stored unless the settings say otherwise.
+/// Default number of partitions in which jobs are stored.
 inline constexpr std::uint32_t kDefaultJobPartitions = 4;
 
-/// Checked settings of an entry that takes, stores and schedules jobs.
+/// Checked settings of an entry that accepts, stores and schedules jobs.
 struct JobEntrySettings {
   EntryId id;
   ZoneId zone;
+  /// Where callers' requests are served.
   SocketAddress callers;
+  /// Where the balancer's health checks are answered.
   SocketAddress health;
   std::string health_path;
-  /// For other entries.
+  /// Where requests of other entries are served.
   SocketAddress peers;
-  /// Where orders are taken that this entry carries for the owner; without it none are carried, and
-  /// as owner it gives all orders itself.
+  /// Where the owner sends the orders that this entry forwards. Without it, this entry forwards no
+  /// orders, and as owner it sends all orders directly.
   std::optional<SocketAddress> carrier;
-  /// Where the metrics are served; none when empty.
+  /// An additional address at which metrics are served; without it, only `health` serves them.
   std::optional<SocketAddress> metrics;
   SocketAddress store;
   std::optional<SocketAddress> vm_service;
   std::optional<SocketAddress> advice;
-  /// In how many partitions jobs are stored, at most eight; the same at all entries, and never
-  /// fewer than before. A slow store takes a few appends a second in each, and the owner follows
-  /// each.
+  /// Number of partitions in which jobs are stored, at most eight. All entries must use the same
+  /// number, and it must never decrease. More partitions raise throughput, as a slow store accepts
+  /// only a few appends per second in each, but the owner has to follow each of them.
   std::uint32_t job_partitions = kDefaultJobPartitions;
-  /// Callers' keys are trusted for this long after the last sign that the operators' rules are
-  /// known to their end.
+  /// Callers' keys are accepted for this long after the last proof that the operators' rules have
+  /// been read to their end.
   Duration key_proof_limit = std::chrono::milliseconds(3500);
-  /// The longest lease that endpoints give.
+  /// The longest lease that endpoints grant.
   Duration lease_limit = std::chrono::seconds(10);
-  /// So long after operators have cordoned a zone, no task may start there; nothing where no such
-  /// bound is promised.
+  /// No task may start in a zone once this time has passed since operators cordoned it; not set if
+  /// no such bound is guaranteed.
   std::optional<Duration> cordon_bound;
-  /// After a take-over, no order is given for a VM for this long, as the predecessor may just have
-  /// given one.
+  /// A new owner sends no VM orders for this long, as an order of its predecessor may still take
+  /// effect.
   Duration vm_order_pause = std::chrono::seconds(3);
-  /// Orders for VMs a second that the platform takes from all entries.
+  /// VM orders per second that the platform accepts from all entries together.
   double vm_order_rate = 64;
-  /// The service for VMs refuses an order whose token is lower than one that it has seen.
+  /// Whether the VM service rejects an order whose token is lower than one that it has seen.
   bool vm_service_compares_tokens = false;
-  /// Longest that a shutdown waits for requests in flight.
+  /// Maximum time that a shutdown waits for requests in flight.
   Duration drain_time = std::chrono::milliseconds(4500);
-  /// The part of the processor that this VM gives. Entries with more go first as owner.
+  /// Processor cores, possibly a fraction of one, that this VM provides. Entries with more are
+  /// preferred as owner.
   double cores = 1.0;
-  /// Megabits a second of this VM's link.
+  /// Bandwidth of this VM's network link, in megabits per second.
   double link_rate = 1000;
-  /// Compact only where no entry of a version that reads rows only can become the owner.
+  /// Compact is safe only if no entry whose version reads nothing but rows can become the owner.
   jobs::ProgressForm progress_form = jobs::ProgressForm::kRows;
-  /// Where some other entries answer entries; they may be down or gone.
+  /// The `peers` addresses of some other entries, which may be down or removed.
   std::vector<SocketAddress> seed_peers;
-  /// The availability zones in which there may be endpoints; empty when that isn't known.
+  /// The availability zones that may contain endpoints; empty if unknown.
   std::vector<ZoneId> fleet_zones;
   DecisionOptions decisions;
   telemetry::LogLevel log_level = telemetry::LogLevel::kInfo;
@@ -103,12 +106,13 @@
   friend bool operator==(const JobEntrySettings&, const JobEntrySettings&) = default;
 };
 
-/// Checked settings, or all faults at once.
+/// The checked settings, or all errors in them.
 struct JobEntrySettingsOutcome {
   std::optional<JobEntrySettings> settings;
   std::vector<Reason> faults;
 };
 
+/// Checks all settings; the reason for each invalid one names its flag.
 JobEntrySettingsOutcome CheckSettings(const RawJobEntrySettings& raw);
 
 }  // namespace chervilspar::job_entry
--- a/src/job_entry/caller_handler.cc
+++ b/src/job_entry/caller_handler.cc
@@ -6,27 +6,27 @@
 
 namespace {
 
-/// Another entry, or the next owner, usually answers within a second.
-constexpr int kComeBackSeconds = 1;
-/// Operators lift a cordon when they are done with a zone, which takes seconds at least.
-constexpr int kCordonedComeBackSeconds = 2;
+/// Another entry, or the next owner, usually responds within a second.
+constexpr int kRetryAfterSeconds = 1;
+/// Operators lift a cordon once their work on the zone is done, which takes seconds at least.
+constexpr int kCordonedRetryAfterSeconds = 2;
 
 }  // namespace
 
-http::Response ComeBack(unsigned status, std::string_view code, std::string_view message,
-                        int seconds) {
+http::Response RetryLaterResponse(unsigned status, std::string_view code, std::string_view message,
+                                  int seconds) {
   http::Response response = http::ErrorResponse(status, code, message);
   response.headers.Add("Retry-After", std::to_string(seconds));
   return response;
 }
 
 CallerHandler::CallerHandler(const Context& context, OperatorView& operators, JobWriter& writer,
-                             JobQueries& questions)
-    : context(context), operators(operators), writer(writer), questions(questions) {}
+                             JobQueries& queries)
+    : context(context), operators(operators), writer(writer), queries(queries) {}
 
 const CallerFormat& CallerHandler::FormatFor(const http::Request& request) const {
   if (NativeCallerFormat::Matches(request)) {
-    return this->own;
+    return this->native_format;
   }
   return *this->context.links.callers;
 }
@@ -36,16 +36,16 @@
       {"chervilspar_calls_total", {{"call", call}, {"status", std::to_string(status)}}});
 }
 
-std::optional<http::Response> CallerHandler::Refuse(const CallerCall& call,
+std::optional<http::Response> CallerHandler::Reject(const CallerCall& call,
                                                     const jobs::Policy& policy) const {
   if (call.queue == nullptr) {
-    return http::ErrorResponse(404, "not_found", "There is no such queue.");
+    return http::ErrorResponse(404, "not_found", "The queue does not exist.");
   }
   if (!call.queue->is_public && !policy.team_of_key.contains(call.key)) {
     return http::ErrorResponse(401, "unauthenticated", "The key is missing or not accepted.");
   }
   if (call.action == CallerAction::kUnknown) {
-    return http::ErrorResponse(405, "unsupported", "A queue takes GET, POST and DELETE.");
+    return http::ErrorResponse(405, "unsupported", "A queue supports GET, POST and DELETE.");
   }
   if (call.action != CallerAction::kCountPending && !call.id) {
     return http::ErrorResponse(400, "invalid_argument",
@@ -57,18 +57,20 @@
 asio::awaitable<http::Response> CallerHandler::Handle(http::Request request,
                                                       std::shared_ptr<http::CancelToken>) {
   const std::shared_ptr<const jobs::Policy> policy = this->operators.Policy();
-  // What can go wrong: a key is withdrawn while this entry can't hear of it, and work runs for
-  // somebody who may not have any. So a key is trusted only while the rules are known to be new.
+  // Keys are accepted only while the rules are known to be up to date. Otherwise, an entry that is
+  // cut off from the store would run work for callers whose keys have been withdrawn.
   if (policy == nullptr || !this->operators.IsFresh(this->context.settings.key_proof_limit)) {
     this->Count("any", 503);
-    co_return ComeBack(503, "not_ready", "The operators' rules are not known for certain here.",
-                       kComeBackSeconds);
+    co_return RetryLaterResponse(
+        503, "not_ready",
+        "This entry cannot confirm that its copy of the operators' rules is current.",
+        kRetryAfterSeconds);
   }
   const CallerFormat& format = this->FormatFor(request);
   CallerCall call = format.Read(request, *policy);
-  if (std::optional<http::Response> refused = this->Refuse(call, *policy)) {
-    this->Count("refused", refused->status);
-    co_return *std::move(refused);
+  if (std::optional<http::Response> rejection = this->Reject(call, *policy)) {
+    this->Count("refused", rejection->status);
+    co_return *std::move(rejection);
   }
   const auto team = policy->team_of_key.find(call.key);
   const TeamId team_id = team == policy->team_of_key.end() ? TeamId{} : team->second;
@@ -86,18 +88,18 @@
     case CallerAction::kUnknown:
       break;
   }
-  co_return http::ErrorResponse(405, "unsupported", "A queue takes GET, POST and DELETE.");
+  co_return http::ErrorResponse(405, "unsupported", "A queue supports GET, POST and DELETE.");
 }
 
 asio::awaitable<http::Response> CallerHandler::Submit(const http::Request& request, CallerCall call,
                                                       const CallerFormat& format, TeamId team,
                                                       std::string queue, ServiceId service) {
-  Result<jobs::Job> read = format.ReadJob(request);
-  if (!read) {
+  Result<jobs::Job> parsed = format.ReadJob(request);
+  if (!parsed) {
     this->Count("submit", 400);
-    co_return http::ErrorResponse(400, "invalid_argument", ToString(read.LastReason()));
+    co_return http::ErrorResponse(400, "invalid_argument", ToString(parsed.LastReason()));
   }
-  jobs::Job job = *std::move(read);
+  jobs::Job job = *std::move(parsed);
   job.id = *call.id;
   job.queue = std::move(queue);
   job.service = std::move(service);
@@ -109,12 +111,13 @@
     this->Count("submit", 400);
     co_return http::ErrorResponse(400, "invalid_argument", ToString(status.LastReason()));
   }
-  if (const bool is_hopeless = co_await this->IsHeldByCordons(job.id); is_hopeless) {
+  if (const bool is_blocked = co_await this->IsBlockedByCordons(job.id); is_blocked) {
     this->Count("submit", 503);
     LogEvent(telemetry::LogLevel::kInfo, "job_refused", "all zones are cordoned; not run",
              {{"queue", job.queue}}, jobs::ToString(job.id));
-    co_return ComeBack(503, "unavailable", "All zones are cordoned; the job does not run.",
-                       kCordonedComeBackSeconds);
+    co_return RetryLaterResponse(503, "unavailable",
+                                 "All zones are cordoned; the job does not run.",
+                                 kCordonedRetryAfterSeconds);
   }
   KeyedRecord record{SubmissionKey(job.id), jobs::EncodeJob(job)};
   const WriteVerdict verdict = co_await this->writer.Write(std::move(record));
@@ -128,30 +131,31 @@
       co_return format.Accepted();
     case WriteVerdict::kNotStored:
       this->Count("submit", 503);
-      LogEvent(telemetry::LogLevel::kWarning, "job_refused", "the store takes nothing; not run",
-               {{"queue", job.queue}}, id);
-      co_return ComeBack(503, "unavailable", "The job was not stored and does not run.",
-                         kComeBackSeconds);
+      LogEvent(telemetry::LogLevel::kWarning, "job_refused",
+               "the store did not accept the job; not run", {{"queue", job.queue}}, id);
+      co_return RetryLaterResponse(503, "unavailable", "The job was not stored and does not run.",
+                                   kRetryAfterSeconds);
     case WriteVerdict::kMayBeStored:
       break;
   }
   this->Count("submit", 504);
-  LogEvent(telemetry::LogLevel::kWarning, "job_unsure", "the store has not answered; it may run",
-           {{"queue", job.queue}}, id);
-  co_return http::ErrorResponse(504, "may_have_run", "The store has not answered; it may run.");
+  LogEvent(telemetry::LogLevel::kWarning, "job_unsure",
+           "the store has not responded; the job may run", {{"queue", job.queue}}, id);
+  co_return http::ErrorResponse(504, "may_have_run",
+                                "The store has not responded; the job may run.");
 }
 
-/// A job that was accepted before is not refused when its caller asks again.
-asio::awaitable<bool> CallerHandler::IsHeldByCordons(jobs::JobId id) {
+/// A job that was accepted earlier is not rejected when its caller submits it again.
+asio::awaitable<bool> CallerHandler::IsBlockedByCordons(jobs::JobId id) {
   if (!this->operators.AreAllZonesCordoned()) {
     co_return false;
   }
-  const OwnerTerm::Answer answer = co_await this->questions.Find(id);
+  const OwnerTerm::Answer answer = co_await this->queries.Find(id);
   co_return answer.knowledge == OwnerTerm::Knowledge::kNoSuchJob;
 }
 
 asio::awaitable<http::Response> CallerHandler::Find(CallerCall call, const CallerFormat& format) {
-  const OwnerTerm::Answer answer = co_await this->questions.Find(*call.id);
+  const OwnerTerm::Answer answer = co_await this->queries.Find(*call.id);
   switch (answer.knowledge) {
     case OwnerTerm::Knowledge::kKnown:
       this->Count("find", 200);
@@ -163,13 +167,13 @@
       break;
   }
   this->Count("find", 503);
-  co_return ComeBack(503, "unavailable", "The entry that schedules can't be asked now.",
-                     kComeBackSeconds);
+  co_return RetryLaterResponse(
+      503, "unavailable", "The entry that schedules jobs cannot be reached.", kRetryAfterSeconds);
 }
 
 asio::awaitable<http::Response> CallerHandler::Cancel(CallerCall call, const CallerFormat& format) {
-  // Written whether or not the job is known here: its submission may still be on its way through
-  // another entry, and must not run after this answer.
+  // Written whether or not this entry knows the job: its submission may still be in flight through
+  // another entry, and the job must not run after this response.
   KeyedRecord record{CancellationKey(*call.id), "1"};
   const WriteVerdict verdict = co_await this->writer.Write(std::move(record));
   const std::string id = jobs::ToString(*call.id);
@@ -178,22 +182,24 @@
     LogEvent(telemetry::LogLevel::kInfo, "cancel_accepted", "stored", {}, id);
     co_return format.Accepted();
   }
-  const bool is_unsure = verdict == WriteVerdict::kMayBeStored;
-  this->Count("cancel", is_unsure ? 504 : 503);
-  LogEvent(telemetry::LogLevel::kWarning, "cancel_failed", "the store has not taken it", {}, id);
-  if (is_unsure) {
-    co_return http::ErrorResponse(504, "may_have_run", "It may have been cancelled.");
+  const bool is_uncertain = verdict == WriteVerdict::kMayBeStored;
+  this->Count("cancel", is_uncertain ? 504 : 503);
+  LogEvent(telemetry::LogLevel::kWarning, "cancel_failed",
+           "the store did not confirm the cancellation", {}, id);
+  if (is_uncertain) {
+    co_return http::ErrorResponse(504, "may_have_run", "The job may have been cancelled.");
   }
-  co_return ComeBack(503, "unavailable", "It was not cancelled.", kComeBackSeconds);
+  co_return RetryLaterResponse(503, "unavailable", "The job was not cancelled.",
+                               kRetryAfterSeconds);
 }
 
 asio::awaitable<http::Response> CallerHandler::CountPending(std::string queue,
                                                             const CallerFormat& format) {
-  const std::optional<std::uint64_t> pending = co_await this->questions.PendingIn(std::move(queue));
+  const std::optional<std::uint64_t> pending = co_await this->queries.PendingIn(std::move(queue));
   this->Count("pending", pending ? 200 : 503);
   if (!pending) {
-    co_return ComeBack(503, "unavailable", "The entry that schedules can't be asked now.",
-                       kComeBackSeconds);
+    co_return RetryLaterResponse(
+        503, "unavailable", "The entry that schedules jobs cannot be reached.", kRetryAfterSeconds);
   }
   co_return format.Pending(*pending);
 }
--- a/src/job_entry/caller_handler.h
+++ b/src/job_entry/caller_handler.h
@@ -11,23 +11,24 @@
 
 namespace chervilspar::job_entry {
 
-/// Takes callers' jobs, cancellations and questions.
+/// Handles callers' submissions, cancellations and queries.
 class CallerHandler final : public http::Handler {
  public:
   CallerHandler(const Context& context, OperatorView& operators, JobWriter& writer,
-                JobQueries& questions);
+                JobQueries& queries);
 
   boost::asio::awaitable<http::Response> Handle(http::Request request,
                                                 std::shared_ptr<http::CancelToken> caller) override;
 
  private:
-  /// What is wrong with the call before it is looked at more closely; nothing when it may go on.
-  std::optional<http::Response> Refuse(const CallerCall& call, const jobs::Policy& policy) const;
+  /// The error response for a call with an invalid queue, key, method or id; nothing if it is
+  /// valid.
+  std::optional<http::Response> Reject(const CallerCall& call, const jobs::Policy& policy) const;
   boost::asio::awaitable<http::Response> Submit(const http::Request& request, CallerCall call,
                                                 const CallerFormat& format, TeamId team,
                                                 std::string queue, ServiceId service);
-  /// Nothing could be started for this job, and nobody was told that it was accepted.
-  boost::asio::awaitable<bool> IsHeldByCordons(jobs::JobId id);
+  /// Whether cordons keep this job from starting and it has not been accepted before.
+  boost::asio::awaitable<bool> IsBlockedByCordons(jobs::JobId id);
   boost::asio::awaitable<http::Response> Find(CallerCall call, const CallerFormat& format);
   boost::asio::awaitable<http::Response> Cancel(CallerCall call, const CallerFormat& format);
   boost::asio::awaitable<http::Response> CountPending(std::string queue,
@@ -38,12 +39,12 @@
   const Context context;
   OperatorView& operators;
   JobWriter& writer;
-  JobQueries& questions;
-  NativeCallerFormat own;
+  JobQueries& queries;
+  NativeCallerFormat native_format;
 };
 
-/// An answer that says that nothing was done and when to come back.
-http::Response ComeBack(unsigned status, std::string_view code, std::string_view message,
-                        int seconds);
+/// An error response with a `Retry-After` header of `seconds`, for a request that had no effect.
+http::Response RetryLaterResponse(unsigned status, std::string_view code, std::string_view message,
+                                  int seconds);
 
 }  // namespace chervilspar::job_entry
--- a/src/job_entry/context.h
+++ b/src/job_entry/context.h
@@ -18,8 +18,8 @@
 
 namespace chervilspar::job_entry {
 
-/// What all parts of an entry use. The entry runs on one thread: the platform's VMs give a quarter
-/// of one core, on which threads only take turns.
+/// The dependencies that all components of an entry share. The entry runs on one thread, as the
+/// platform's VMs provide a quarter of one core, where more threads would only alternate.
 struct Context {
   const JobEntrySettings& settings;
   Links& links;
@@ -36,19 +36,20 @@
   boost::asio::co_spawn(context.io, std::move(coroutine), boost::asio::detached);
 }
 
-/// Runs all, at most `at_once` side by side; true when all gave true. What they use must live until
-/// they have ended.
+/// Runs all tasks, at most `max_concurrent` at a time; true if all returned true. Whatever the
+/// tasks refer to must outlive them.
 boost::asio::awaitable<bool> RunAll(const Context& context,
-                                    std::vector<boost::asio::awaitable<bool>> all,
-                                    std::size_t at_once);
+                                    std::vector<boost::asio::awaitable<bool>> tasks,
+                                    std::size_t max_concurrent);
 
-/// One line for a decision or a change of what this process believes.
+/// Logs a decision or a change in this process's view of the system. `request` is the id of the
+/// request or job that it concerns.
 void LogEvent(telemetry::LogLevel level, std::string event, std::string message,
               std::vector<telemetry::LogField> fields = {}, std::string request = {});
 
-/// Waits for `span`.
-boost::asio::awaitable<void> Pause(const Context& context, Duration span);
+/// Waits for `duration`.
+boost::asio::awaitable<void> Pause(const Context& context, Duration duration);
 
-std::string MillisecondsText(Duration span);
+std::string MillisecondsText(Duration duration);
 
 }  // namespace chervilspar::job_entry
--- a/src/job_entry/decision_options.cc
+++ b/src/job_entry/decision_options.cc
@@ -62,7 +62,7 @@
     NamedMember<SizerMember>{"sizer.least_vms", &jobs::SizerOptions::least_vms},
 };
 
-Reason Wrong(std::string_view name, std::string message) {
+Reason InvalidOption(std::string_view name, std::string message) {
   return {ErrorCode::kInvalidArgument, std::string(name), std::move(message)};
 }
 
@@ -75,7 +75,7 @@
   return is_number && number >= Number{} ? std::optional(number) : std::nullopt;
 }
 
-/// Sets one value; the type of the member says how the text is read.
+/// Sets one option; the type of the member determines how the text is parsed.
 template <typename Options>
 struct Setter {
   Options& options;
@@ -83,17 +83,17 @@
   std::string_view text;
 
   Status operator()(Duration Options::*member) const {
-    const Result<Duration> span = inventory::ParseDuration(this->text);
-    if (!span) {
-      return Wrong(this->name, "should be a span of time such as 500ms");
+    const Result<Duration> duration = inventory::ParseDuration(this->text);
+    if (!duration) {
+      return InvalidOption(this->name, "should be a duration such as 500ms");
     }
-    this->options.*member = *span;
+    this->options.*member = *duration;
     return Done{};
   }
   Status operator()(double Options::*member) const {
     const std::optional<double> number = ParseNumber<double>(this->text);
     if (!number) {
-      return Wrong(this->name, "should be a number that isn't negative");
+      return InvalidOption(this->name, "should be a non-negative number");
     }
     this->options.*member = *number;
     return Done{};
@@ -101,24 +101,24 @@
   Status operator()(int Options::*member) const {
     const std::optional<int> number = ParseNumber<int>(this->text);
     if (!number) {
-      return Wrong(this->name, "should be a whole number that isn't negative");
+      return InvalidOption(this->name, "should be a non-negative whole number");
     }
     this->options.*member = *number;
     return Done{};
   }
   Status operator()(bool Options::*member) const {
     if (this->text != "on" && this->text != "off") {
-      return Wrong(this->name, "should be on or off");
+      return InvalidOption(this->name, "should be on or off");
     }
     this->options.*member = this->text == "on";
     return Done{};
   }
 };
 
-/// Nothing when no member has this name.
+/// Nothing if no member has this name.
 template <typename Options, typename Members>
-std::optional<Status> SetIn(Options& options, const Members& members, std::string_view name,
-                            std::string_view text) {
+std::optional<Status> SetMember(Options& options, const Members& members, std::string_view name,
+                                std::string_view text) {
   for (const auto& entry : members) {
     if (entry.name == name) {
       return std::visit(Setter<Options>{options, name, text}, entry.member);
@@ -127,30 +127,30 @@
   return std::nullopt;
 }
 
-Status SetOne(DecisionOptions& options, std::string_view part) {
+Status SetOption(DecisionOptions& options, std::string_view part) {
   const std::size_t equals = part.find('=');
   if (equals == std::string_view::npos) {
-    return Wrong(part, "should be NAME=VALUE");
+    return InvalidOption(part, "should be NAME=VALUE");
   }
   const std::string_view name = part.substr(0, equals);
   const std::string_view text = part.substr(equals + 1);
-  if (const auto set = SetIn(options.scheduler, kSchedulerMembers, name, text)) {
+  if (const auto set = SetMember(options.scheduler, kSchedulerMembers, name, text)) {
     return *set;
   }
-  if (const auto set = SetIn(options.sizer, kSizerMembers, name, text)) {
+  if (const auto set = SetMember(options.sizer, kSizerMembers, name, text)) {
     return *set;
   }
-  if (const auto set = SetIn(options.carriers, kCarrierMembers, name, text)) {
+  if (const auto set = SetMember(options.carriers, kCarrierMembers, name, text)) {
     return *set;
   }
-  if (const auto set = SetIn(options, kEntryMembers, name, text)) {
+  if (const auto set = SetMember(options, kEntryMembers, name, text)) {
     return *set;
   }
   std::string known;
   for (const std::string_view other : DecisionOptionNames()) {
     known += (known.empty() ? "" : ", ") + std::string(other);
   }
-  return Wrong(name, "is not known; known are " + known);
+  return InvalidOption(name, "is unknown; the known names are " + known);
 }
 
 }  // namespace
@@ -178,7 +178,7 @@
   DecisionOptions options;
   while (!text.empty()) {
     const std::size_t comma = text.find(',');
-    const Status set = SetOne(options, text.substr(0, comma));
+    const Status set = SetOption(options, text.substr(0, comma));
     if (!set) {
       return set.LastReason();
     }
--- a/src/job_entry/job_queries.cc
+++ b/src/job_entry/job_queries.cc
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// An owner answers from memory; one that doesn't within this is cut off or stopped, and the caller
-/// is told to come back.
-constexpr Duration kAskTimeout = std::chrono::milliseconds(700);
+/// An owner responds from memory. One that does not respond within this time is unreachable or
+/// stopped, and the caller is asked to retry.
+constexpr Duration kOwnerQueryTimeout = std::chrono::milliseconds(700);
 constexpr std::string_view kJobsPath = "/v1/jobs/";
 constexpr std::string_view kPendingPath = "/v1/pending";
 
@@ -53,7 +53,7 @@
                        http::Client& client)
     : context(context), election(election), directory(directory), client(client) {}
 
-asio::awaitable<std::optional<http::Response>> JobQueries::AskOwner(std::string target) {
+asio::awaitable<std::optional<http::Response>> JobQueries::QueryOwner(std::string target) {
   const std::optional<OwnerClaim> owner = this->directory.Owner();
   if (!owner || owner->address == this->context.settings.peers) {
     co_return std::nullopt;
@@ -61,7 +61,7 @@
   http::Request request;
   request.target = std::move(target);
   const http::Exchange exchange =
-      co_await this->client.Send(owner->address, std::move(request), kAskTimeout, nullptr);
+      co_await this->client.Send(owner->address, std::move(request), kOwnerQueryTimeout, nullptr);
   if (!exchange.response) {
     this->client.CloseIdle(owner->address);
     this->context.metrics.Count({"chervilspar_owner_questions_failed_total", {}});
@@ -75,7 +75,7 @@
     co_return term->Find(id);
   }
   const std::optional<http::Response> response =
-      co_await this->AskOwner(std::string(kJobsPath) + jobs::ToString(id));
+      co_await this->QueryOwner(std::string(kJobsPath) + jobs::ToString(id));
   if (response && response->status == 404) {
     co_return OwnerTerm::Answer{Knowledge::kNoSuchJob};
   }
@@ -92,7 +92,7 @@
     co_return term->PendingIn(queue);
   }
   const std::optional<http::Response> response =
-      co_await this->AskOwner(std::string(kPendingPath) + "?queue=" + queue);
+      co_await this->QueryOwner(std::string(kPendingPath) + "?queue=" + queue);
   const std::optional<json::object> body =
       response && response->status == 200 ? BodyOf(*response) : std::nullopt;
   const json::value* pending = body ? body->if_contains("pending") : nullptr;
@@ -111,34 +111,35 @@
   }
   const std::shared_ptr<OwnerTerm> term = this->election.Term();
   if (term == nullptr) {
-    co_return http::ErrorResponse(503, "not_owner", "This entry doesn't schedule jobs.");
+    co_return http::ErrorResponse(503, "not_owner", "This entry does not schedule jobs.");
   }
   const std::string_view path = http::PathOf(request.target);
   if (path.starts_with(kJobsPath)) {
     const std::optional<jobs::JobId> id = jobs::ParseJobId(path.substr(kJobsPath.size()));
     if (!id) {
-      co_return http::ErrorResponse(400, "invalid_argument", "A job's id has 16 hex digits.");
+      co_return http::ErrorResponse(400, "invalid_argument", "A job id has 16 hexadecimal digits.");
     }
     const OwnerTerm::Answer answer = term->Find(*id);
     switch (answer.knowledge) {
       case OwnerTerm::Knowledge::kKnown:
         co_return JsonBody({{"phase", jobs::ToString(answer.phase)}});
       case OwnerTerm::Knowledge::kNoSuchJob:
-        co_return http::ErrorResponse(404, "not_found", "There is no such job.");
+        co_return http::ErrorResponse(404, "not_found", "The job does not exist.");
       case OwnerTerm::Knowledge::kUnsure:
         co_return http::ErrorResponse(503, "unavailable",
-                                      "The store has not been read to its end.");
+                                      "This entry has not read the store to its end.");
     }
   }
   const std::optional<std::string_view> queue = http::QueryParameter(request.target, "queue");
   if (path == kPendingPath && queue) {
     const std::optional<std::uint64_t> pending = term->PendingIn(std::string(*queue));
     if (!pending) {
-      co_return http::ErrorResponse(503, "unavailable", "The store has not been read to its end.");
+      co_return http::ErrorResponse(503, "unavailable",
+                                    "This entry has not read the store to its end.");
     }
     co_return JsonBody({{"pending", *pending}});
   }
-  co_return http::ErrorResponse(404, "not_found", "There is no such page.");
+  co_return http::ErrorResponse(404, "not_found", "The path does not exist.");
 }
 
 }  // namespace chervilspar::job_entry
--- a/src/job_entry/job_queries.h
+++ b/src/job_entry/job_queries.h
@@ -13,18 +13,19 @@
 
 namespace chervilspar::job_entry {
 
-/// Answers what callers ask about jobs: from this entry's own term, or by asking the owner.
+/// Answers callers' queries about jobs, from the current term if this entry is the owner, otherwise
+/// by querying the owner.
 class JobQueries {
  public:
   JobQueries(const Context& context, Election& election, OwnerDirectory& directory,
              http::Client& client);
 
   boost::asio::awaitable<OwnerTerm::Answer> Find(jobs::JobId id);
-  /// Nothing when the owner can't be asked.
+  /// The number of pending jobs in the queue; nothing if the owner cannot answer.
   boost::asio::awaitable<std::optional<std::uint64_t>> PendingIn(std::string queue);
 
  private:
-  boost::asio::awaitable<std::optional<http::Response>> AskOwner(std::string target);
+  boost::asio::awaitable<std::optional<http::Response>> QueryOwner(std::string target);
 
   const Context context;
   Election& election;
@@ -32,12 +33,12 @@
   http::Client& client;
 };
 
-/// The owner's side: answers other entries.
+/// Serves requests of other entries. The owner answers queries about jobs:
 ///
-///     GET /v1/jobs/ID             200 {"phase":"running"}, 404 no such job, 503 not known
-///     GET /v1/pending?queue=NAME  200 {"pending":3}, 503 not known
+///     GET /v1/jobs/ID             200 {"phase":"running"}, 404 no such job, 503 unknown
+///     GET /v1/pending?queue=NAME  200 {"pending":3}, 503 unknown
 ///
-/// Any entry writes records for one that can't; see `RelayHandler`.
+/// Any entry writes records for an entry that cannot; see `RelayHandler`.
 class PeerHandler final : public http::Handler {
  public:
   PeerHandler(Election& election, const Context& context) : election(election), relay(context) {}
--- a/src/job_entry/member_name.h
+++ b/src/job_entry/member_name.h
@@ -9,11 +9,12 @@
 
 namespace chervilspar::job_entry {
 
-/// Adds to a member's name where the entry carries orders, so that the group's list of members is
-/// all that an owner needs to find those that can carry for it.
+/// Appends the zone and address at which the entry forwards orders to its member name. An owner
+/// then finds the entries that can forward its orders in the group's list of members alone.
 std::string WithCarrier(const std::string& member, const jobs::Carrier& carrier);
 
-/// Nothing for a member that carries nothing, or of another version.
+/// The carrier that the member name contains; nothing if the member forwards no orders or runs a
+/// version with another format.
 std::optional<jobs::Carrier> CarrierOf(std::string_view member);
 
 }  // namespace chervilspar::job_entry
--- a/src/job_entry/native_caller_format.cc
+++ b/src/job_entry/native_caller_format.cc
@@ -13,12 +13,12 @@
 constexpr std::string_view kPrefix = "/v1/queues/";
 constexpr std::string_view kBearer = "Bearer ";
 constexpr unsigned kGone = 410;
-/// "v1", "queues", the queue, "jobs", and the id.
-constexpr std::size_t kQueuePart = 2;
-constexpr std::size_t kJobsPart = 3;
-constexpr std::size_t kIdPart = 4;
+/// Positions of the segments in "v1/queues/QUEUE/jobs/ID".
+constexpr std::size_t kQueueSegment = 2;
+constexpr std::size_t kJobsSegment = 3;
+constexpr std::size_t kIdSegment = 4;
 
-http::Response JsonAnswer(const json::object& body) {
+http::Response JsonResponse(const json::object& body) {
   http::Response response;
   response.headers.Add("Content-Type", "application/json");
   response.body = json::serialize(body);
@@ -34,16 +34,16 @@
 CallerCall NativeCallerFormat::Read(const http::Request& request,
                                     const jobs::Policy& policy) const {
   CallerCall call;
-  const std::vector<std::string_view> parts = http::PathSegments(request.target);
-  if (parts.size() <= kJobsPart || parts[kJobsPart] != "jobs") {
+  const std::vector<std::string_view> segments = http::PathSegments(request.target);
+  if (segments.size() <= kJobsSegment || segments[kJobsSegment] != "jobs") {
     return call;
   }
-  const auto queue = policy.queues.find(std::string(parts[kQueuePart]));
+  const auto queue = policy.queues.find(std::string(segments[kQueueSegment]));
   call.queue = queue == policy.queues.end() ? nullptr : &queue->second;
   const std::string_view key = request.headers.Find("Authorization").value_or("");
   call.key = std::string(key.starts_with(kBearer) ? key.substr(kBearer.size()) : "");
-  if (parts.size() > kIdPart) {
-    call.id_text = std::string(parts[kIdPart]);
+  if (segments.size() > kIdSegment) {
+    call.id_text = std::string(segments[kIdSegment]);
     call.id = jobs::ParseJobId(call.id_text);
   }
   call.action = ActionOf(request.method, !call.id_text.empty());
@@ -54,18 +54,18 @@
   return jobs::ReadJobBody(request.body);
 }
 
-http::Response NativeCallerFormat::Accepted() const { return JsonAnswer({}); }
+http::Response NativeCallerFormat::Accepted() const { return JsonResponse({}); }
 
 http::Response NativeCallerFormat::Phase(jobs::JobPhase phase) const {
-  return JsonAnswer({{"phase", jobs::ToString(phase)}});
+  return JsonResponse({{"phase", jobs::ToString(phase)}});
 }
 
 http::Response NativeCallerFormat::Pending(std::uint64_t count) const {
-  return JsonAnswer({{"pending", count}});
+  return JsonResponse({{"pending", count}});
 }
 
 http::Response NativeCallerFormat::NoSuchJob() const {
-  return http::ErrorResponse(kGone, "not_found", "There is no such job, and there was none.");
+  return http::ErrorResponse(kGone, "not_found", "The job does not exist and never did.");
 }
 
 }  // namespace chervilspar::job_entry
--- a/src/job_entry/native_caller_format.h
+++ b/src/job_entry/native_caller_format.h
@@ -4,16 +4,17 @@
 
 namespace chervilspar::job_entry {
 
-/// The product's own interface for jobs, served beside that of the platform:
+/// The product's own HTTP interface for jobs, served in addition to the platform's:
 ///
 ///     POST   /v1/queues/QUEUE/jobs/ID   a job; 200 stored, 400, 401, 404, 503, 504
 ///     GET    /v1/queues/QUEUE/jobs/ID   200 {"phase":"running"}, 410 no such job, 503
 ///     DELETE /v1/queues/QUEUE/jobs/ID   200 cancelled
 ///     GET    /v1/queues/QUEUE/jobs      200 {"pending":3}
 ///
-/// with `Authorization: Bearer KEY`.
+/// Requests carry the caller's key as `Authorization: Bearer KEY`.
 class NativeCallerFormat final : public CallerFormat {
  public:
+  /// Whether the request's path belongs to this interface.
   static bool Matches(const http::Request& request);
 
   CallerCall Read(const http::Request& request, const jobs::Policy& policy) const override;
--- a/src/job_entry/run_job_entry.cc
+++ b/src/job_entry/run_job_entry.cc
@@ -19,19 +19,19 @@
 
 constexpr int kExitOk = 0;
 constexpr int kExitUnavailable = 5;
-constexpr int kExitCut = 6;
-/// The store holds up to ten reads that wait at once, and the writes beside them.
+constexpr int kExitConnectionsCut = 6;
+/// The store has up to ten pending long-poll reads at once, in addition to writes.
 constexpr std::size_t kConnectionsPerAddress = 32;
-/// The balancer takes two seconds to notice. A read of the rules is answered every second and
-/// proves them up to its end, so that older proof than this means that the store doesn't answer
-/// here.
-constexpr Duration kReadyLimit = std::chrono::milliseconds(1700);
-/// After a SIGTERM, new connections come until the balancer has missed two health checks.
-constexpr Duration kBalancerTime = std::chrono::milliseconds(2300);
-constexpr Duration kDrainPoll = std::chrono::milliseconds(50);
-constexpr Duration kSweep = std::chrono::seconds(2);
-
-/// Tells the balancer whether to send connections here.
+/// Maximum age of the operators' rules at which the entry is ready. A read of the rules returns
+/// every second and proves them current, so an older proof means that the store does not respond to
+/// this entry. The balancer takes two more seconds to detect a failed health check.
+constexpr Duration kMaxReadyRulesAge = std::chrono::milliseconds(1700);
+/// After a SIGTERM, new connections arrive until two of the balancer's health checks have failed.
+constexpr Duration kBalancerDetectionTime = std::chrono::milliseconds(2300);
+constexpr Duration kDrainPollInterval = std::chrono::milliseconds(50);
+constexpr Duration kSweepInterval = std::chrono::seconds(2);
+
+/// Answers the balancer's health checks and serves metrics.
 class HealthHandler final : public http::Handler {
  public:
   HealthHandler(const Context& context, OperatorView& operators, const bool& is_stopping)
@@ -48,7 +48,7 @@
       co_return response;
     }
     if (http::PathOf(request.target) != this->context.settings.health_path) {
-      co_return http::ErrorResponse(404, "not_found", "There is no such page.");
+      co_return http::ErrorResponse(404, "not_found", "The path does not exist.");
     }
     if (!this->IsReady()) {
       co_return http::ErrorResponse(503, "not_ready", "Not ready.");
@@ -60,7 +60,7 @@
  private:
   bool IsReady() const {
     return !this->is_stopping && this->operators.Policy() != nullptr &&
-           this->operators.IsFresh(kReadyLimit);
+           this->operators.IsFresh(kMaxReadyRulesAge);
   }
 
   const Context context;
@@ -68,7 +68,7 @@
   const bool& is_stopping;
 };
 
-/// All parts of one entry process.
+/// All components of one entry process.
 class JobEntryNode {
  public:
   JobEntryNode(const Context& context, http::Client& client, TrafficMeter& traffic,
@@ -82,8 +82,8 @@
         relay(context, this->directory, client),
         writer(std::make_shared<JobWriter>(context, &this->relay)),
         election(std::make_shared<Election>(context, this->operators, this->directory)),
-        questions(context, *this->election, this->directory, client),
-        callers(context, this->operators, *this->writer, this->questions),
+        queries(context, *this->election, this->directory, client),
+        callers(context, this->operators, *this->writer, this->queries),
         peers(*this->election, context),
         health(context, this->operators, this->is_stopping),
         signals(context.io, SIGTERM, SIGINT, SIGHUP) {
@@ -104,7 +104,7 @@
       }
     }
     if (this->context.settings.metrics) {
-      // Metrics are worth having, not worth failing for.
+      // An entry without metrics is better than none, so a failure here does not stop it.
       const Status status =
           this->Listen(*this->context.settings.metrics, this->health, this->metrics_server);
       if (!status) {
@@ -143,45 +143,45 @@
       }
       if (signal == SIGHUP) {
         LogEvent(telemetry::LogLevel::kInfo, "reload_ignored",
-                 "settings are read at the start; rules come from the store");
+                 "settings are read only at process start; rules are read from the store");
         continue;
       }
       co_await this->ShutDown();
     }
   }
 
-  /// What can go wrong: a request is on its way when the process ends, and its caller can't tell
-  /// whether it ran. So the health check fails first, then the listener closes, then what is in
-  /// flight is answered.
+  /// First fails the health check, then closes the listener, then waits for the requests in flight
+  /// until the drain time is over. A caller whose request is cut off by the end of the process
+  /// cannot know whether it took effect.
   asio::awaitable<void> ShutDown() {
     const TimePoint deadline = this->context.Now() + this->context.settings.drain_time;
     this->is_stopping = true;
-    LogEvent(telemetry::LogLevel::kInfo, "stopping", "told to stop");
+    LogEvent(telemetry::LogLevel::kInfo, "stopping", "received a signal to stop");
     this->caller_server->BeginDrain();
     co_await this->election->Resign();
-    co_await Pause(this->context, kBalancerTime);
+    co_await Pause(this->context, kBalancerDetectionTime);
     this->caller_server->StopAccepting();
     while (this->caller_server->ConnectionCount() > 0 && this->context.Now() < deadline) {
-      co_await Pause(this->context, kDrainPoll);
+      co_await Pause(this->context, kDrainPollInterval);
     }
-    this->exit_code = this->caller_server->ConnectionCount() > 0 ? kExitCut : kExitOk;
+    this->exit_code = this->caller_server->ConnectionCount() > 0 ? kExitConnectionsCut : kExitOk;
     if (const std::shared_ptr<OwnerTerm> term = this->election->Term()) {
-      term->Stop("the process ends");
+      term->Stop("the process is stopping");
     }
-    LogEvent(telemetry::LogLevel::kInfo, "stopped", "ends",
+    LogEvent(telemetry::LogLevel::kInfo, "stopped", "process ends",
              {{"connections", std::to_string(this->caller_server->ConnectionCount())}});
     this->context.io.stop();
   }
 
   asio::awaitable<void> SweepConnections() {
     while (true) {
-      co_await Pause(this->context, kSweep);
+      co_await Pause(this->context, kSweepInterval);
       this->client.CloseStale();
       const OrderExchange::Bytes carried = this->exchange.Carried();
       this->traffic.OnExchange("carried", carried.sent - this->carried.sent,
                                carried.received - this->carried.received);
       this->carried = carried;
-      this->traffic.Tell();
+      this->traffic.Report();
     }
   }
 
@@ -189,7 +189,7 @@
   http::Client& client;
   TrafficMeter& traffic;
   OrderExchange& exchange;
-  /// As told last.
+  /// The forwarded orders' traffic at the last report.
   OrderExchange::Bytes carried;
   bool is_stopping = false;
   int exit_code = kExitOk;
@@ -198,7 +198,7 @@
   PeerRelay relay;
   std::shared_ptr<JobWriter> writer;
   std::shared_ptr<Election> election;
-  JobQueries questions;
+  JobQueries queries;
   CallerHandler callers;
   PeerHandler peers;
   HealthHandler health;
@@ -235,7 +235,7 @@
   OrderExchange exchange(context, *carried);
   links.endpoints = std::move(carried);
   if (const Status opened = exchange.Open(links); !opened) {
-    // Orders go directly then, as in a small fleet.
+    // Orders are then sent directly, as in a small fleet.
     LogEvent(telemetry::LogLevel::kWarning, "carrying_unavailable", ToString(opened.LastReason()));
   }
   JobEntryNode node(context, client, traffic, exchange);
@@ -248,7 +248,8 @@
   LogEvent(telemetry::LogLevel::kInfo, "started", "serving at " + ToString(settings.callers));
   io.run();
   telemetry::FlushLogging();
-  // Coroutines that wait for an answer still refer to the parts; the process ends without them.
+  // Suspended coroutines still refer to the components, so the process exits without destroying
+  // them.
   std::_Exit(node.ExitCode());
 }
 
--- a/src/job_entry/settings.cc
+++ b/src/job_entry/settings.cc
@@ -11,17 +11,17 @@
 namespace {
 
 constexpr std::size_t kMaxNameLength = 128;
-constexpr Duration kShortest = std::chrono::milliseconds(100);
-constexpr Duration kLongest = std::chrono::minutes(10);
-constexpr double kLeastCores = 0.01;
-constexpr double kMostCores = 1024;
-constexpr std::uint32_t kMostPartitions = 1024;
-/// The owner follows each of them.
-constexpr std::uint32_t kMostPartitionsUsed = 8;
-constexpr double kLeastRate = 0.1;
-constexpr double kMostRate = 100000;
-
-/// Checks one flag after another and keeps all faults.
+constexpr Duration kMinDuration = std::chrono::milliseconds(100);
+constexpr Duration kMaxDuration = std::chrono::minutes(10);
+constexpr double kMinCores = 0.01;
+constexpr double kMaxCores = 1024;
+constexpr std::uint32_t kMaxPartitions = 1024;
+/// Upper bound on the partitions in use, as the owner follows each of them.
+constexpr std::uint32_t kMaxUsedPartitions = 8;
+constexpr double kMinRate = 0.1;
+constexpr double kMaxRate = 100000;
+
+/// Checks one flag at a time and collects all errors.
 class Checker {
  public:
   std::string Name(const char* flag, const std::string& value) {
@@ -44,83 +44,83 @@
     return value.empty() ? std::nullopt : std::optional(this->Address(flag, value));
   }
 
-  Duration Span(const char* flag, const std::string& value, Duration otherwise) {
+  Duration DurationValue(const char* flag, const std::string& value, Duration fallback) {
     if (value.empty()) {
-      return otherwise;
+      return fallback;
     }
-    const Result<Duration> span = inventory::ParseDuration(value);
-    if (!span || *span < kShortest || *span > kLongest) {
-      this->Add(flag, '"' + value + "\" should be a span of time from 100ms to 10m");
-      return otherwise;
+    const Result<Duration> duration = inventory::ParseDuration(value);
+    if (!duration || *duration < kMinDuration || *duration > kMaxDuration) {
+      this->Add(flag, '"' + value + "\" should be a duration from 100ms to 10m");
+      return fallback;
     }
-    return *span;
+    return *duration;
   }
 
-  std::optional<Duration> OptionalSpan(const char* flag, const std::string& value) {
-    return value.empty() ? std::nullopt : std::optional(this->Span(flag, value, kLongest));
+  std::optional<Duration> OptionalDuration(const char* flag, const std::string& value) {
+    return value.empty() ? std::nullopt
+                         : std::optional(this->DurationValue(flag, value, kMaxDuration));
   }
 
-  /// `what`: what the number is and its bounds, for the message.
-  double Number(const char* flag, const std::string& value, double otherwise, double least,
-                double most, const char* what) {
+  /// A number from `min` to `max`; `what` describes the number and its bounds in the error message.
+  double Number(const char* flag, const std::string& value, double fallback, double min, double max,
+                const char* what) {
     if (value.empty()) {
-      return otherwise;
+      return fallback;
     }
     double number = 0;
     const char* const end = value.data() + value.size();
     const auto parsed = std::from_chars(value.data(), end, number);
     const bool is_number = parsed.ec == std::errc() && parsed.ptr == end;
-    if (!is_number || !(number >= least && number <= most)) {
+    if (!is_number || !(number >= min && number <= max)) {
       this->Add(flag, '"' + value + "\" should be " + what);
-      return otherwise;
+      return fallback;
     }
     return number;
   }
 
-  /// A whole number from 1 to `most`.
-  std::uint32_t Whole(const char* flag, const std::string& value, std::uint32_t otherwise,
-                      std::uint32_t most, const char* what) {
-    const double number = this->Number(flag, value, otherwise, 1, most, what);
+  /// A whole number from 1 to `max`.
+  std::uint32_t WholeNumber(const char* flag, const std::string& value, std::uint32_t fallback,
+                            std::uint32_t max, const char* what) {
+    const double number = this->Number(flag, value, fallback, 1, max, what);
     if (number != std::floor(number)) {
       this->Add(flag, '"' + value + "\" should be " + what);
-      return otherwise;
+      return fallback;
     }
     return static_cast<std::uint32_t>(number);
   }
 
-  bool YesOrNo(const char* flag, const std::string& value, bool otherwise) {
+  bool Boolean(const char* flag, const std::string& value, bool fallback) {
     if (value.empty()) {
-      return otherwise;
+      return fallback;
     }
     if (value != "true" && value != "false") {
       this->Add(flag, '"' + value + "\" should be true or false");
-      return otherwise;
+      return fallback;
     }
     return value == "true";
   }
 
-  jobs::ProgressForm Form(const char* flag, const std::string& value,
-                          jobs::ProgressForm otherwise) {
+  jobs::ProgressForm Form(const char* flag, const std::string& value, jobs::ProgressForm fallback) {
     if (value.empty()) {
-      return otherwise;
+      return fallback;
     }
     if (value != "rows" && value != "compact") {
       this->Add(flag, '"' + value + "\" should be rows or compact");
-      return otherwise;
+      return fallback;
     }
     return value == "rows" ? jobs::ProgressForm::kRows : jobs::ProgressForm::kCompact;
   }
 
   telemetry::LogLevel Level(const char* flag, const std::string& value,
-                            telemetry::LogLevel otherwise) {
+                            telemetry::LogLevel fallback) {
     if (value.empty()) {
-      return otherwise;
+      return fallback;
     }
     const std::optional<telemetry::LogLevel> level = telemetry::LogLevelFromString(value);
     if (!level) {
       this->Add(flag, '"' + value + "\" should be debug, info, warning or error");
     }
-    return level.value_or(otherwise);
+    return level.value_or(fallback);
   }
 
   DecisionOptions Decisions(const char* flag, const std::string& value) {
@@ -138,7 +138,7 @@
       return "/ready";
     }
     if (value.front() != '/') {
-      this->Add(flag, '"' + value + "\" should begin with a slash");
+      this->Add(flag, '"' + value + "\" should start with a slash");
     }
     return value;
   }
@@ -168,26 +168,27 @@
   settings.vm_service = check.OptionalAddress("--vm-service-address", raw.vm_service_address);
   settings.advice = check.OptionalAddress("--advice-address", raw.advice_address);
   settings.key_proof_limit =
-      check.Span("--key-proof-limit", raw.key_proof_limit, settings.key_proof_limit);
-  settings.lease_limit = check.Span("--lease-limit", raw.lease_limit, settings.lease_limit);
-  settings.cordon_bound = check.OptionalSpan("--cordon-bound", raw.cordon_bound);
+      check.DurationValue("--key-proof-limit", raw.key_proof_limit, settings.key_proof_limit);
+  settings.lease_limit =
+      check.DurationValue("--lease-limit", raw.lease_limit, settings.lease_limit);
+  settings.cordon_bound = check.OptionalDuration("--cordon-bound", raw.cordon_bound);
   settings.vm_order_pause =
-      check.Span("--vm-order-pause", raw.vm_order_pause, settings.vm_order_pause);
-  settings.drain_time = check.Span("--drain-time", raw.drain_time, settings.drain_time);
+      check.DurationValue("--vm-order-pause", raw.vm_order_pause, settings.vm_order_pause);
+  settings.drain_time = check.DurationValue("--drain-time", raw.drain_time, settings.drain_time);
   settings.job_partitions =
-      std::min(kMostPartitionsUsed,
-               check.Whole("--job-partitions", raw.job_partitions, settings.job_partitions,
-                           kMostPartitions, "a whole number of partitions from 1 to 1024"));
+      std::min(kMaxUsedPartitions,
+               check.WholeNumber("--job-partitions", raw.job_partitions, settings.job_partitions,
+                                 kMaxPartitions, "a whole number of partitions from 1 to 1024"));
   settings.vm_order_rate =
-      check.Number("--vm-order-rate", raw.vm_order_rate, settings.vm_order_rate, kLeastRate,
-                   kMostRate, "a number of orders a second from 0.1 to 100000");
+      check.Number("--vm-order-rate", raw.vm_order_rate, settings.vm_order_rate, kMinRate, kMaxRate,
+                   "a number of orders per second from 0.1 to 100000");
   settings.vm_service_compares_tokens =
-      check.YesOrNo("--vm-service-compares-tokens", raw.vm_service_compares_tokens,
+      check.Boolean("--vm-service-compares-tokens", raw.vm_service_compares_tokens,
                     settings.vm_service_compares_tokens);
-  settings.cores = check.Number("--cores", raw.cores, settings.cores, kLeastCores, kMostCores,
+  settings.cores = check.Number("--cores", raw.cores, settings.cores, kMinCores, kMaxCores,
                                 "a number of cores from 0.01 to 1024");
-  settings.link_rate = check.Number("--link-rate", raw.link_rate, settings.link_rate, kLeastRate,
-                                    kMostRate, "a number of megabits a second from 0.1 to 100000");
+  settings.link_rate = check.Number("--link-rate", raw.link_rate, settings.link_rate, kMinRate,
+                                    kMaxRate, "a number of megabits per second from 0.1 to 100000");
   settings.progress_form = check.Form("--progress-form", raw.progress_form, settings.progress_form);
   for (const std::string& peer : raw.seed_peers) {
     settings.seed_peers.push_back(check.Address("--seed-peer", peer));
--- a/src/job_entry/traffic_meter.cc
+++ b/src/job_entry/traffic_meter.cc
@@ -9,27 +9,27 @@
 
 namespace {
 
-/// Below this nothing is told; an entry that isn't owner stays below it.
-constexpr std::size_t kWorthTelling = std::size_t{64} * 1024;
-constexpr std::size_t kMostKinds = 6;
+/// Less traffic than this is not logged; an entry that is not the owner stays below it.
+constexpr std::size_t kMinLoggedBytes = std::size_t{64} * 1024;
+constexpr std::size_t kMaxLoggedKinds = 6;
 
 }  // namespace
 
 void TrafficMeter::OnExchange(std::string_view kind, std::size_t sent, std::size_t received) {
-  auto place = this->since_told.find(kind);
-  if (place == this->since_told.end()) {
-    place = this->since_told.emplace(std::string(kind), Amount{}).first;
+  auto position = this->since_report.find(kind);
+  if (position == this->since_report.end()) {
+    position = this->since_report.emplace(std::string(kind), Amount{}).first;
   }
-  Amount& amount = place->second;
+  Amount& amount = position->second;
   ++amount.calls;
   amount.sent += sent;
   amount.received += received;
 }
 
-void TrafficMeter::Tell() {
+void TrafficMeter::Report() {
   std::size_t total = 0;
   std::vector<std::pair<std::string, Amount>> kinds;
-  for (const auto& [kind, amount] : this->since_told) {
+  for (const auto& [kind, amount] : this->since_report) {
     total += amount.Bytes();
     kinds.emplace_back(kind, amount);
     const telemetry::MetricLabel label{"kind", kind};
@@ -39,21 +39,21 @@
     this->metrics.Count({"chervilspar_bytes_received_total", {label}},
                         static_cast<double>(amount.received));
   }
-  this->since_told.clear();
-  if (total < kWorthTelling) {
+  this->since_report.clear();
+  if (total < kMinLoggedBytes) {
     return;
   }
   std::sort(kinds.begin(), kinds.end(), [](const auto& one, const auto& other) {
     return one.second.Bytes() > other.second.Bytes();
   });
   std::vector<telemetry::LogField> fields{{"bytes", std::to_string(total)}};
-  for (std::size_t i = 0; i < std::min(kinds.size(), kMostKinds); ++i) {
+  for (std::size_t i = 0; i < std::min(kinds.size(), kMaxLoggedKinds); ++i) {
     const Amount& amount = kinds[i].second;
     fields.push_back({kinds[i].first, std::to_string(amount.calls) + " calls, " +
                                           std::to_string(amount.sent) + " sent, " +
                                           std::to_string(amount.received) + " received"});
   }
-  LogEvent(telemetry::LogLevel::kInfo, "traffic", "sent and received since the last such line",
+  LogEvent(telemetry::LogLevel::kInfo, "traffic", "bytes sent and received since the last report",
            std::move(fields));
 }
 
--- a/src/job_entry/traffic_meter.h
+++ b/src/job_entry/traffic_meter.h
@@ -8,15 +8,16 @@
 
 namespace chervilspar::job_entry {
 
-/// Counts what the entry sends and receives by kind of message, and tells it in one line now and
-/// then, as metrics are rarely there for the seconds that a complaint is about.
+/// Counts the entry's traffic by kind of message. In addition to metrics, it logs the traffic
+/// periodically, as metrics rarely cover the seconds that a problem report is about.
 class TrafficMeter final : public http::TrafficObserver {
  public:
   explicit TrafficMeter(telemetry::MetricsRegistry& metrics) : metrics(metrics) {}
 
   void OnExchange(std::string_view kind, std::size_t sent, std::size_t received) override;
-  /// Logs what came together since the last call, the most first; nothing when it was little.
-  void Tell();
+  /// Adds the traffic since the last call to the metrics, and logs it by kind in descending order
+  /// unless it is small.
+  void Report();
 
  private:
   struct Amount {
@@ -28,7 +29,7 @@
   };
 
   telemetry::MetricsRegistry& metrics;
-  std::map<std::string, Amount, std::less<>> since_told;
+  std::map<std::string, Amount, std::less<>> since_report;
 };
 
 }  // namespace chervilspar::job_entry
--- a/src/job_entry/vm_list_interval.h
+++ b/src/job_entry/vm_list_interval.h
@@ -6,12 +6,12 @@
 
 namespace chervilspar::job_entry {
 
-/// Between two readings of the list of VMs. What this entry has ordered it knows itself, and
-/// endpoints register; the list only says which VM an endpoint is on.
+/// Interval between two reads of the VM list. This entry knows its own orders and endpoints
+/// register themselves, so the list only shows on which VM an endpoint runs.
 ///
-/// The load that it answers: an owner on a link of a few megabits a second, which starts, renewals
-/// and progress fill in each peak, while the list alone would take a fifth of it.
-/// `link_rate`: megabits a second of this entry's link.
+/// The interval bounds the list's share of the link: on an owner's link of a few megabits per
+/// second, which starts, renewals and progress saturate in each peak, the list alone would take a
+/// fifth. `link_rate`: bandwidth of this entry's link in megabits per second.
 Duration VmListInterval(std::size_t vms, double link_rate);
 
 }  // namespace chervilspar::job_entry
--- a/tests/cli/explain_job_test.cc
+++ b/tests/cli/explain_job_test.cc
@@ -54,10 +54,10 @@
     Requests, ExplainJob,
     ::testing::Values(
         ExplainCase{"turned_away",
-                    {Line(1, "job_refused", "the store takes nothing; not run")},
-                    "turned away and did not run: the store takes nothing"},
+                    {Line(1, "job_refused", "the store did not accept the job; not run")},
+                    "turned away and did not run: the store did not accept the job"},
         ExplainCase{"unsure",
-                    {Line(1, "job_unsure", "the store has not answered; it may run")},
+                    {Line(1, "job_unsure", "the store has not responded; the job may run")},
                     "may have been stored"},
         ExplainCase{"refused_then_accepted",
                     {Line(1, "job_refused", "no"), Line(2, "job_accepted", "stored")},
--- a/tests/job_entry/decision_options_test.cc
+++ b/tests/job_entry/decision_options_test.cc
@@ -8,17 +8,17 @@
 struct OptionsCase {
   const char* name;
   const char* text;
-  /// The part that the reason names; null when the text is sound.
-  const char* wrong;
+  /// The option that the reason names; null if the text is valid.
+  const char* invalid_option;
 };
 
 class DecisionOptionsTable : public ::testing::TestWithParam<OptionsCase> {};
 
-TEST_P(DecisionOptionsTable, NamesThePartThatIsWrong) {
+TEST_P(DecisionOptionsTable, NamesTheInvalidOption) {
   const Result<DecisionOptions> options = ParseDecisionOptions(GetParam().text);
-  ASSERT_EQ(options.HasValue(), GetParam().wrong == nullptr);
+  ASSERT_EQ(options.HasValue(), GetParam().invalid_option == nullptr);
   if (!options) {
-    EXPECT_EQ(options.LastReason().field, GetParam().wrong);
+    EXPECT_EQ(options.LastReason().field, GetParam().invalid_option);
     EXPECT_FALSE(options.LastReason().message.empty());
   }
 }
@@ -26,18 +26,18 @@
 INSTANTIATE_TEST_SUITE_P(
     Texts, DecisionOptionsTable,
     ::testing::Values(OptionsCase{"empty", "", nullptr},
-                      OptionsCase{"one_of_each_kind",
+                      OptionsCase{"one_of_each_type",
                                   "scheduler.lease=3s,sizer.usable=0.5,sizer.least_vms=2,"
                                   "sizer.avoids_dark_zones=off,entry.relays_records=off",
                                   nullptr},
                       OptionsCase{"unknown", "sizer.colour=1", "sizer.colour"},
                       OptionsCase{"no_value", "sizer.usable", "sizer.usable"},
-                      OptionsCase{"no_number", "sizer.usable=much", "sizer.usable"},
+                      OptionsCase{"not_a_number", "sizer.usable=much", "sizer.usable"},
                       OptionsCase{"negative", "sizer.least_vms=-1", "sizer.least_vms"},
                       OptionsCase{"fraction", "sizer.least_vms=1.5", "sizer.least_vms"},
-                      OptionsCase{"no_span", "sizer.keep=long", "sizer.keep"},
-                      OptionsCase{"no_switch", "scheduler.overload=1", "scheduler.overload"},
-                      OptionsCase{"second_is_wrong", "sizer.usable=1,b=2", "b"}),
+                      OptionsCase{"not_a_duration", "sizer.keep=long", "sizer.keep"},
+                      OptionsCase{"not_a_boolean", "scheduler.overload=1", "scheduler.overload"},
+                      OptionsCase{"second_is_invalid", "sizer.usable=1,b=2", "b"}),
     [](const auto& info) { return info.param.name; });
 
 TEST(DecisionOptions, ChangeOnlyWhatIsNamed) {
--- a/tests/job_entry/fleet_test.cc
+++ b/tests/job_entry/fleet_test.cc
@@ -15,7 +15,7 @@
 namespace asio = boost::asio;
 using std::chrono::milliseconds;
 
-/// Fleets that run at once, so that many rounds take no longer than one.
+/// Numbers of fleets that run concurrently, so that many rounds take no longer than one.
 constexpr int kTakeovers = 30;
 constexpr int kPowerLosses = 200;
 
@@ -30,7 +30,7 @@
 
 const ::testing::Environment* const kQuietLog = ::testing::AddGlobalTestEnvironment(new QuietLog);
 
-/// Hands a job in; `then` hears whether it was accepted.
+/// Submits a job and passes to `then` whether it was accepted.
 asio::awaitable<void> Submit(FakeEntry& entry, jobs::Job job, std::function<void(bool)> then) {
   KeyedRecord record{SubmissionKey(job.id), jobs::EncodeJob(job)};
   const WriteVerdict verdict = co_await entry.writer->Write(std::move(record));
@@ -41,9 +41,9 @@
   return is_compact ? jobs::ProgressForm::kCompact : jobs::ProgressForm::kRows;
 }
 
-/// The owner is killed with jobs waiting and at work. The next entry has to find what runs, start
-/// what waits, and start nothing twice; until then callers wait. Entries that store progress in
-/// either form follow one another.
+/// The owner is killed while jobs are queued and running. The next owner has to find the running
+/// tasks, start the queued ones, and start nothing twice; until then callers wait. Entries that
+/// store progress in either form succeed one another.
 TEST(Fleet, AnotherEntryTakesOverFromAKilledOwner) {
   asio::io_context io;
   std::vector<std::unique_ptr<FakeFleet>> fleets;
@@ -107,14 +107,14 @@
   }
   std::sort(waits.begin(), waits.end());
   std::printf(
-      "from the kill to the successor's first start, %d fleets: median %lld ms, worst %lld ms\n",
+      "from the kill to the successor's first start, %d fleets: median %lld ms, maximum %lld ms\n",
       kTakeovers, static_cast<long long>(waits[waits.size() / 2]),
       static_cast<long long>(waits.back()));
   EXPECT_LT(waits.back(), 3000);
 }
 
-/// All entries lose power right after a job was accepted. The caller was told that it is stored,
-/// so that the entries that start next must know it and run it, once.
+/// All entries lose power right after a job is accepted. Its caller has the confirmation that it is
+/// stored, so the entries that start next must know the job and run it exactly once.
 TEST(Fleet, APowerLossAfterAnAcceptanceLosesNoJob) {
   asio::io_context io;
   std::vector<std::unique_ptr<FakeFleet>> fleets;
@@ -174,9 +174,9 @@
   std::printf("%d of %d jobs accepted before a power loss were run\n", known, kPowerLosses);
 }
 
-/// An endpoint that runs work falls silent together with the owner. Its work must not start
-/// elsewhere before the owner that is gone can't have renewed its lease any more.
-TEST(Fleet, WorkOfADarkEndpointStartsElsewhereOnlyAfterItsLease) {
+/// An endpoint with running work becomes unreachable together with the owner. Its work must not
+/// start elsewhere until any lease that the failed owner may have renewed has expired.
+TEST(Fleet, WorkOfAnUnreachableEndpointStartsElsewhereOnlyAfterItsLease) {
   asio::io_context io;
   FakeFleet fleet(io, 2);
   fleet.endpoints.task_time = std::chrono::seconds(30);
@@ -198,10 +198,10 @@
   EXPECT_NE(second.election->Term(), nullptr);
 }
 
-/// The owner is killed after it has brought a wave to its end. A successor that doesn't know how
-/// far the wave was would empty and reboot every VM once more, and operators would read that a wave
-/// which was complete is under way.
-TEST(Fleet, AWaveIsNotDoneTwice) {
+/// The owner is killed after it has completed a wave. A successor that does not know the wave's
+/// progress would drain and reboot every VM again, and report a complete wave as in progress to
+/// operators.
+TEST(Fleet, ACompleteWaveIsNotRepeated) {
   asio::io_context io;
   FakeFleet fleet(io, 4);
   for (int i = 0; i < 4; ++i) {
@@ -214,13 +214,13 @@
     fleet.vms.vms.push_back(vm);
   }
   fleet.store.At(Topic::kOperators, 0).records.push_back({"wave", "m0,m1,m2,m3"});
-  const auto is_told = [&] {
-    const std::vector<KeyedRecord>& told = fleet.store.At(Topic::kStatus, 0).records;
-    return !told.empty() && told.back().value == "complete";
+  const auto is_reported = [&] {
+    const std::vector<KeyedRecord>& status = fleet.store.At(Topic::kStatus, 0).records;
+    return !status.empty() && status.back().value == "complete";
   };
   FakeEntry& first = fleet.AddEntry("a");
-  RunUntil(io, std::chrono::seconds(15), is_told);
-  ASSERT_TRUE(is_told());
+  RunUntil(io, std::chrono::seconds(15), is_reported);
+  ASSERT_TRUE(is_reported());
   io.run_for(milliseconds(200));
   first.Cut();
   FakeEntry& second = fleet.AddEntry("b");
@@ -228,16 +228,16 @@
     return second.election->Term() != nullptr && second.election->Term()->IsServing();
   });
   io.run_for(std::chrono::seconds(2));
-  EXPECT_TRUE(is_told());
+  EXPECT_TRUE(is_reported());
   for (const jobs::VmRecord& vm : fleet.vms.vms) {
     EXPECT_EQ(fleet.vms.reboots[vm.id], 1) << vm.id.text;
   }
 }
 
-/// An owner loses its way to the store but not to the service for VMs, in the middle of a wave. Its
-/// successor goes on with the wave; if the old owner did so, too, VMs that the successor has just
-/// filled would be sent down, and the callers' work with them.
-TEST(Fleet, ACutOffOwnerGivesNoOrderForAVmAfterItsSuccessor) {
+/// In the middle of a wave, an owner loses its connection to the store but not to the VM service.
+/// Its successor continues the wave. If the old owner did so too, it would shut down VMs to which
+/// the successor has just assigned work, and the callers' work would be lost.
+TEST(Fleet, ACutOffOwnerSendsNoVmOrderAfterItsSuccessor) {
   asio::io_context io;
   FakeFleet fleet(io);
   fleet.vms.is_busy = true;
@@ -268,10 +268,11 @@
   EXPECT_TRUE(std::is_sorted(fleet.vms.tokens.begin(), fleet.vms.tokens.end()));
 }
 
-/// The answer to a claim was lost and the claim took effect seconds later. Everybody then takes the
-/// claimant for the owner, which doesn't know of it: the former owner ends its term, nobody else
-/// claims, and no job is started any more until that entry is restarted.
-TEST(Fleet, AClaimWhoseAnswerWasLostLeavesNoFleetWithoutOwner) {
+/// The response to a claim is lost and the claim takes effect seconds later. All entries then
+/// regard the claimant as the owner, but the claimant does not know of it. The failure would be
+/// that the former owner ends its term, nobody else claims, and no job starts until that entry is
+/// restarted.
+TEST(Fleet, AClaimWhoseResponseWasLostLeavesNoFleetWithoutOwner) {
   asio::io_context io;
   FakeFleet fleet(io, 2);
   FakeEntry& owner = fleet.AddEntry("a");
@@ -292,9 +293,10 @@
   EXPECT_TRUE(fleet.endpoints.violations.empty());
 }
 
-/// A predecessor's last reboot began after its successor had read the list of VMs, which is read
-/// rarely where there are many. Without a newer one, one VM more than may be is down.
-TEST(Fleet, TheFirstOrderForAVmNeedsAListFromAfterThePause) {
+/// A predecessor's last reboot begins after its successor has read the VM list, which is read less
+/// often if there are many VMs. A successor that relies on that list takes down one VM more than
+/// allowed.
+TEST(Fleet, TheFirstVmOrderNeedsAListFromAfterThePause) {
   asio::io_context io;
   FakeFleet fleet(io, 0);
   std::string names;
@@ -312,10 +314,10 @@
   EXPECT_LT(fleet.vms.list_ages.front(), milliseconds(400));
 }
 
-/// What a successor reads before it starts anything grows with what is stored. Submissions of jobs
-/// that have ended are most of it; dropped too early or told of wrongly, a job runs twice or is
-/// unknown to its caller.
-TEST(Fleet, SubmissionsOfEndedJobsAreDroppedAndTheirEndsKnown) {
+/// A successor reads all stored records before it starts anything, and most of them are submissions
+/// of ended jobs, so these are deleted. If they are deleted too early or their results are reported
+/// wrongly, a job runs twice or its caller is told that it does not exist.
+TEST(Fleet, SubmissionsOfEndedJobsAreDeletedAndTheirResultsKnown) {
   asio::io_context io;
   FakeFleet fleet(io, 2);
   fleet.endpoints.task_time = milliseconds(50);
@@ -343,7 +345,7 @@
   EXPECT_FALSE(newest());
   submit();
   io.run_for(milliseconds(500));
-  EXPECT_EQ(fleet.endpoints.starts.size(), 2U) << "a repeat after the end";
+  EXPECT_EQ(fleet.endpoints.starts.size(), 2U) << "a repeated submission after the end";
   owner.Cut();
   RunUntil(io, std::chrono::seconds(8), [&] { return IsServing(other); });
   ASSERT_TRUE(IsServing(other));
@@ -355,23 +357,23 @@
 
 struct OwnerCase {
   const char* name;
-  /// The entries' cores; the group chooses the first of those that stand.
+  /// The entries' cores; the group chooses the first of those that run as candidates.
   std::vector<double> cores;
-  /// How long before the others the first one starts.
+  /// How long before the others the first entry starts.
   milliseconds head_start;
-  /// The entry that is owner in the end.
+  /// Index of the entry that is finally the owner.
   std::size_t owner;
-  /// The same once that one is gone.
+  /// Index of the entry that becomes the owner once that one has failed.
   std::size_t successor;
 };
 
 class OwnersByCores : public ::testing::TestWithParam<OwnerCase> {};
 
-/// Entries run on VMs of very different size, and the owner's work needs processor. On a small VM
-/// its rounds take seconds when much waits, renewals come late, and running tasks lose their
-/// leases, which users notice as tasks that serve them going away. When the large VMs are gone, a
-/// small one has to do.
-TEST_P(OwnersByCores, TheOwnerRunsWhereThereIsProcessor) {
+/// Entries run on VMs of very different sizes, and the owner's work needs processor time. On a
+/// small VM, a scheduling round takes seconds when many jobs are queued, lease renewals are late,
+/// and running tasks lose their leases, so that users lose the tasks that serve them. If the large
+/// VMs fail, a small one has to take over.
+TEST_P(OwnersByCores, TheOwnerRunsOnTheLargestVm) {
   asio::io_context io;
   FakeFleet fleet(io, 2);
   const auto is_serving = [&](std::size_t entry) {
@@ -403,8 +405,8 @@
                       OwnerCase{"a_large_one_comes_later", {0.12, 0.5}, milliseconds(1500), 1, 0}),
     [](const auto& info) { return info.param.name; });
 
-/// A predecessor's writes are refused once a higher token was announced, also one whose answer was
-/// lost and that is sent again.
+/// A predecessor's writes are rejected once a higher token has been announced, including a repeated
+/// write whose first response was lost.
 TEST(ProgressWriting, IsFencedByASuccessor) {
   asio::io_context io;
   FakeFleet fleet(io);
@@ -430,7 +432,8 @@
                                              FencedWrite::kStored, FencedWrite::kSuperseded,
                                              FencedWrite::kStored};
   EXPECT_EQ(outcomes, expected);
-  EXPECT_EQ(fleet.store.At(Topic::kProgress, 0).records.size(), 2U) << "a repeat is written once";
+  EXPECT_EQ(fleet.store.At(Topic::kProgress, 0).records.size(), 2U)
+      << "a repeated write is stored once";
 }
 
 }  // namespace
--- a/tests/job_entry/native_caller_format_test.cc
+++ b/tests/job_entry/native_caller_format_test.cc
@@ -14,9 +14,9 @@
   bool has_id;
 };
 
-class OwnCalls : public ::testing::TestWithParam<CallCase> {};
+class NativeCalls : public ::testing::TestWithParam<CallCase> {};
 
-TEST_P(OwnCalls, AreRead) {
+TEST_P(NativeCalls, AreParsed) {
   jobs::Policy policy;
   policy.queues["bookings"].name = "bookings";
   http::Request request;
@@ -33,7 +33,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Paths, OwnCalls,
+    Paths, NativeCalls,
     ::testing::Values(CallCase{"submit", "POST", "/v1/queues/bookings/jobs/5c0e7a21d94b36f8",
                                CallerAction::kSubmit, true, true},
                       CallCase{"find", "GET", "/v1/queues/bookings/jobs/5c0e7a21d94b36f8",
@@ -46,20 +46,20 @@
                                true, false},
                       CallCase{"unknown_queue", "GET", "/v1/queues/other/jobs",
                                CallerAction::kUnknown, false, false},
-                      CallCase{"another_page", "GET", "/v1/queues/bookings", CallerAction::kUnknown,
+                      CallCase{"another_path", "GET", "/v1/queues/bookings", CallerAction::kUnknown,
                                false, false}),
     [](const auto& info) { return info.param.name; });
 
 struct BodyCase {
   const char* name;
   const char* body;
-  /// Null when the body is sound.
+  /// The field that the reason names; null if the body is valid.
   const char* field;
 };
 
-class OwnBodies : public ::testing::TestWithParam<BodyCase> {};
+class NativeBodies : public ::testing::TestWithParam<BodyCase> {};
 
-TEST_P(OwnBodies, NameTheFieldThatIsWrong) {
+TEST_P(NativeBodies, NameTheInvalidField) {
   http::Request request;
   request.body = GetParam().body;
   const Result<jobs::Job> job = NativeCallerFormat().ReadJob(request);
@@ -73,12 +73,12 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Jobs, OwnBodies,
+    Jobs, NativeBodies,
     ::testing::Values(
-        BodyCase{"sound", R"({"payload":"x","steps":[{"count":2,"cpu":500,"memory":256},
+        BodyCase{"valid", R"({"payload":"x","steps":[{"count":2,"cpu":500,"memory":256},
                  {"cpu":100,"after":[0]}]})",
                  nullptr},
-        BodyCase{"no_json", "{", "body"},
+        BodyCase{"not_json", "{", "body"},
         BodyCase{"step_of_another_type", R"({"steps":[{"count":1},7]})", "steps/1"},
         BodyCase{"count_of_another_type", R"({"steps":[{"count":"7"}]})", "steps/0"},
         BodyCase{"payload_of_another_type", R"({"steps":[{"count":1}],"payload":7})", "payload"}),
--- a/tests/job_entry/settings_test.cc
+++ b/tests/job_entry/settings_test.cc
@@ -23,13 +23,13 @@
 struct SettingsCase {
   const char* name;
   std::function<void(RawJobEntrySettings&)> change;
-  /// The flags that are named, all at once; none when the settings are sound.
+  /// The flags that the reasons name; none if the settings are valid.
   std::set<std::string> flags;
 };
 
 class JobEntrySettingsTable : public ::testing::TestWithParam<SettingsCase> {};
 
-TEST_P(JobEntrySettingsTable, NamesEachWrongFlag) {
+TEST_P(JobEntrySettingsTable, NamesEachInvalidFlag) {
   RawJobEntrySettings raw = Valid();
   GetParam().change(raw);
   const JobEntrySettingsOutcome outcome = CheckSettings(raw);
@@ -44,18 +44,18 @@
 INSTANTIATE_TEST_SUITE_P(
     Flags, JobEntrySettingsTable,
     ::testing::Values(
-        SettingsCase{"sound", [](RawJobEntrySettings&) {}, {}},
+        SettingsCase{"valid", [](RawJobEntrySettings&) {}, {}},
         SettingsCase{"nothing_given",
                      [](RawJobEntrySettings& raw) { raw = {}; },
                      {"--id", "--zone", "--callers-address", "--health-address", "--peer-address",
                       "--store-address"}},
-        SettingsCase{"two_faults",
+        SettingsCase{"two_errors",
                      [](RawJobEntrySettings& raw) {
                        raw.store_address = "store";
                        raw.lease_limit = "soon";
                      },
                      {"--store-address", "--lease-limit"}},
-        SettingsCase{"no_rate_and_no_answer",
+        SettingsCase{"zero_rate_and_not_a_boolean",
                      [](RawJobEntrySettings& raw) {
                        raw.vm_order_rate = "0";
                        raw.vm_service_compares_tokens = "yes";
@@ -80,7 +80,7 @@
         SettingsCase{"an_unknown_decision",
                      [](RawJobEntrySettings& raw) { raw.decisions = "sizer.colour=1"; },
                      {"--decisions"}},
-        SettingsCase{"a_lease_of_nothing",
+        SettingsCase{"zero_lease",
                      [](RawJobEntrySettings& raw) { raw.lease_limit = "0s"; },
                      {"--lease-limit"}},
         SettingsCase{"optional_address",
--- a/tests/job_entry/vm_list_interval_test.cc
+++ b/tests/job_entry/vm_list_interval_test.cc
@@ -7,31 +7,32 @@
 
 using std::chrono::milliseconds;
 
-struct PaceCase {
+struct IntervalCase {
   const char* name;
   std::size_t vms;
   double link_rate;
-  Duration least;
-  Duration most;
+  Duration min;
+  Duration max;
 };
 
-class ListPace : public ::testing::TestWithParam<PaceCase> {};
+class ListInterval : public ::testing::TestWithParam<IntervalCase> {};
 
-/// Guards against a list of VMs that takes the link from starts and renewals, and against one so
-/// old that waves stand still.
-TEST_P(ListPace, FollowsTheListAndTheLink) {
-  const Duration pace = VmListInterval(GetParam().vms, GetParam().link_rate);
-  EXPECT_GE(pace, GetParam().least);
-  EXPECT_LE(pace, GetParam().most);
+/// The VM list must not take the link's bandwidth from starts and renewals, nor become so old that
+/// waves stall.
+TEST_P(ListInterval, FollowsTheListAndTheLink) {
+  const Duration interval = VmListInterval(GetParam().vms, GetParam().link_rate);
+  EXPECT_GE(interval, GetParam().min);
+  EXPECT_LE(interval, GetParam().max);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Fleets, ListPace,
-    ::testing::Values(PaceCase{"none_known", 0, 1000, milliseconds(0), milliseconds(0)},
-                      PaceCase{"small", 49, 1000, milliseconds(147), milliseconds(147)},
-                      PaceCase{"wide_link", 1100, 200, milliseconds(1000), milliseconds(1000)},
-                      PaceCase{"narrow_link", 130, 2, milliseconds(1500), milliseconds(2000)},
-                      PaceCase{"narrowest_link", 350, 0.5, milliseconds(2000), milliseconds(2000)}),
+    Fleets, ListInterval,
+    ::testing::Values(IntervalCase{"none_known", 0, 1000, milliseconds(0), milliseconds(0)},
+                      IntervalCase{"small", 49, 1000, milliseconds(147), milliseconds(147)},
+                      IntervalCase{"wide_link", 1100, 200, milliseconds(1000), milliseconds(1000)},
+                      IntervalCase{"narrow_link", 130, 2, milliseconds(1500), milliseconds(2000)},
+                      IntervalCase{"narrowest_link", 350, 0.5, milliseconds(2000),
+                                   milliseconds(2000)}),
     [](const auto& info) { return info.param.name; });
 
 }  // namespace
