--- a/src/job_entry/election.cc
+++ b/src/job_entry/election.cc
@@ -226,9 +226,9 @@
   }
   LogEvent(telemetry::LogLevel::kInfo, "owner_missing", owner->entry + " is not in the group",
            {{"member", owner->member}, {"members", std::to_string(members->size())}});
-  if (this->context.links.roster != nullptr) {
+  if (this->context.links.fleet_observer != nullptr) {
     // Orders during the load of the state are forwarded by other entries already.
-    this->context.links.roster->SetMembers(*members);
+    this->context.links.fleet_observer->SetMembers(*members);
   }
   co_return false;
 }
@@ -237,7 +237,7 @@
 /// with the joins, as both take long while the store is slow.
 void Election::PublishMembers() {
   const MembersSnapshot snapshot{this->member, this->generation, this->context.Now()};
-  if (this->context.links.roster == nullptr || this->is_publishing ||
+  if (this->context.links.fleet_observer == nullptr || this->is_publishing ||
       this->last_published.Covers(snapshot)) {
     return;
   }
@@ -252,7 +252,7 @@
       co_await this->context.links.store->Members(kCallTimeout);
   if (members) {
     this->last_published = snapshot;
-    this->context.links.roster->SetMembers(*members);
+    this->context.links.fleet_observer->SetMembers(*members);
   }
 }
 
@@ -271,7 +271,7 @@
   records.push_back({kOwnerKey, EncodeClaim(claim)});
   const AppendOutcome outcome = co_await this->context.links.store->AppendAt(
       Topic::kOwners, 0, std::move(records), offset, kClaimTimeout);
-  if (outcome.kind == AppendOutcome::Kind::kEndsElsewhere) {
+  if (outcome.kind == AppendOutcome::Kind::kEndMismatch) {
     LogEvent(telemetry::LogLevel::kInfo, "claim_refused",
              "another entry has claimed at this offset");
     co_await this->directory.Refresh(kCallTimeout);
@@ -308,7 +308,7 @@
   std::vector<asio::awaitable<bool>> parts;
   parts.push_back(this->Claim(offset));
   parts.push_back(this->Announce(writer));
-  const bool is_begun = co_await AllOf(this->context, std::move(parts), 2);
+  const bool is_begun = co_await RunAll(this->context, std::move(parts), 2);
   if (!is_begun || this->is_resigned) {
     co_return;  // retried with the next join if this entry is still chosen
   }
--- a/src/job_entry/lease_keeper.cc
+++ b/src/job_entry/lease_keeper.cc
@@ -50,8 +50,8 @@
 asio::awaitable<void> LeaseKeeper::SendRenewal([[maybe_unused]] std::shared_ptr<LeaseKeeper> self,
                                                jobs::RenewalOrder order) {
   const std::string endpoint = order.endpoint;
-  const HeldOutcome renewed =
-      co_await this->context.links.endpoints->Hold(std::move(order), kRenewalTimeout);
+  const RenewalOutcome renewed =
+      co_await this->context.links.endpoints->RenewLease(std::move(order), kRenewalTimeout);
   if (this->is_stopped) {
     co_return;
   }
--- a/src/job_entry/owner_directory.cc
+++ b/src/job_entry/owner_directory.cc
@@ -56,7 +56,7 @@
 boost::asio::awaitable<bool> OwnerDirectory::IsNewestClaim(std::string member,
                                                            Duration timeout) const {
   const Result<NewestOutcome> newest =
-      co_await this->context.links.store->Newest(Topic::kOwners, 0, timeout);
+      co_await this->context.links.store->ReadNewest(Topic::kOwners, 0, timeout);
   if (!newest) {
     co_return false;
   }
@@ -73,7 +73,7 @@
 /// missed a claim would take a former owner for the newest until the pending read times out.
 boost::asio::awaitable<void> OwnerDirectory::Refresh(Duration timeout) {
   const Result<NewestOutcome> newest =
-      co_await this->context.links.store->Newest(Topic::kOwners, 0, timeout);
+      co_await this->context.links.store->ReadNewest(Topic::kOwners, 0, timeout);
   if (newest && this->NextClaimOffset() < newest->next) {
     this->refreshed_offset = newest->next;
     this->OnRecords(newest->records);
--- a/src/job_entry/vm_driver.cc
+++ b/src/job_entry/vm_driver.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "job_entry/vm_list_pace.h"
+#include "job_entry/vm_list_interval.h"
 
 namespace chervilspar::job_entry {
 
@@ -77,7 +77,7 @@
 /// The last reboot of a predecessor may begin after the list was read, and more VMs of a wave than
 /// allowed would be down. So the first orders of a term need a list that is read after the pause.
 asio::awaitable<bool> VmDriver::ReadList(TimePoint first_order) {
-  const Duration interval = VmListPace(this->vms.size(), this->context.settings.link_rate);
+  const Duration interval = VmListInterval(this->vms.size(), this->context.settings.link_rate);
   const TimePoint requested_at = this->context.Now();
   const bool is_before_orders = this->listed_at <= first_order && requested_at > first_order;
   if (!this->vms.empty() && requested_at - this->listed_at < interval && !is_before_orders) {
