--- a/src/job_entry/caller_handler.cc
+++ b/src/job_entry/caller_handler.cc
@@ -39,13 +39,13 @@
 std::optional<http::Response> CallerHandler::Reject(const CallerCall& call,
                                                     const jobs::Policy& policy) const {
   if (call.queue == nullptr) {
-    return http::ErrorResponse(404, "not_found", "The queue does not exist.");
+    return http::ErrorResponse(404, "not_found", "There is no such queue.");
   }
   if (!call.queue->is_public && !policy.team_of_key.contains(call.key)) {
     return http::ErrorResponse(401, "unauthenticated", "The key is missing or not accepted.");
   }
   if (call.action == CallerAction::kUnknown) {
-    return http::ErrorResponse(405, "unsupported", "A queue supports GET, POST and DELETE.");
+    return http::ErrorResponse(405, "unsupported", "A queue takes GET, POST and DELETE.");
   }
   if (call.action != CallerAction::kCountPending && !call.id) {
     return http::ErrorResponse(400, "invalid_argument",
@@ -61,10 +61,9 @@
   // cut off from the store would run work for callers whose keys have been withdrawn.
   if (policy == nullptr || !this->operators.IsFresh(this->context.settings.key_proof_limit)) {
     this->Count("any", 503);
-    co_return RetryLaterResponse(
-        503, "not_ready",
-        "This entry cannot confirm that its copy of the operators' rules is current.",
-        kRetryAfterSeconds);
+    co_return RetryLaterResponse(503, "not_ready",
+                                 "The operators' rules are not known for certain here.",
+                                 kRetryAfterSeconds);
   }
   const CallerFormat& format = this->FormatFor(request);
   CallerCall call = format.Read(request, *policy);
@@ -88,7 +87,7 @@
     case CallerAction::kUnknown:
       break;
   }
-  co_return http::ErrorResponse(405, "unsupported", "A queue supports GET, POST and DELETE.");
+  co_return http::ErrorResponse(405, "unsupported", "A queue takes GET, POST and DELETE.");
 }
 
 asio::awaitable<http::Response> CallerHandler::Submit(const http::Request& request, CallerCall call,
@@ -141,8 +140,7 @@
   this->Count("submit", 504);
   LogEvent(telemetry::LogLevel::kWarning, "job_unsure",
            "the store has not responded; the job may run", {{"queue", job.queue}}, id);
-  co_return http::ErrorResponse(504, "may_have_run",
-                                "The store has not responded; the job may run.");
+  co_return http::ErrorResponse(504, "may_have_run", "The store has not answered; it may run.");
 }
 
 /// A job that was accepted earlier is not rejected when its caller submits it again.
@@ -167,8 +165,8 @@
       break;
   }
   this->Count("find", 503);
-  co_return RetryLaterResponse(
-      503, "unavailable", "The entry that schedules jobs cannot be reached.", kRetryAfterSeconds);
+  co_return RetryLaterResponse(503, "unavailable", "The entry that schedules can't be asked now.",
+                               kRetryAfterSeconds);
 }
 
 asio::awaitable<http::Response> CallerHandler::Cancel(CallerCall call, const CallerFormat& format) {
@@ -187,10 +185,9 @@
   LogEvent(telemetry::LogLevel::kWarning, "cancel_failed",
            "the store did not confirm the cancellation", {}, id);
   if (is_uncertain) {
-    co_return http::ErrorResponse(504, "may_have_run", "The job may have been cancelled.");
+    co_return http::ErrorResponse(504, "may_have_run", "It may have been cancelled.");
   }
-  co_return RetryLaterResponse(503, "unavailable", "The job was not cancelled.",
-                               kRetryAfterSeconds);
+  co_return RetryLaterResponse(503, "unavailable", "It was not cancelled.", kRetryAfterSeconds);
 }
 
 asio::awaitable<http::Response> CallerHandler::CountPending(std::string queue,
@@ -198,8 +195,8 @@
   const std::optional<std::uint64_t> pending = co_await this->queries.PendingIn(std::move(queue));
   this->Count("pending", pending ? 200 : 503);
   if (!pending) {
-    co_return RetryLaterResponse(
-        503, "unavailable", "The entry that schedules jobs cannot be reached.", kRetryAfterSeconds);
+    co_return RetryLaterResponse(503, "unavailable", "The entry that schedules can't be asked now.",
+                                 kRetryAfterSeconds);
   }
   co_return format.Pending(*pending);
 }
--- a/src/job_entry/job_queries.cc
+++ b/src/job_entry/job_queries.cc
@@ -111,35 +111,34 @@
   }
   const std::shared_ptr<OwnerTerm> term = this->election.Term();
   if (term == nullptr) {
-    co_return http::ErrorResponse(503, "not_owner", "This entry does not schedule jobs.");
+    co_return http::ErrorResponse(503, "not_owner", "This entry doesn't schedule jobs.");
   }
   const std::string_view path = http::PathOf(request.target);
   if (path.starts_with(kJobsPath)) {
     const std::optional<jobs::JobId> id = jobs::ParseJobId(path.substr(kJobsPath.size()));
     if (!id) {
-      co_return http::ErrorResponse(400, "invalid_argument", "A job id has 16 hexadecimal digits.");
+      co_return http::ErrorResponse(400, "invalid_argument", "A job's id has 16 hex digits.");
     }
     const OwnerTerm::Answer answer = term->Find(*id);
     switch (answer.knowledge) {
       case OwnerTerm::Knowledge::kKnown:
         co_return JsonBody({{"phase", jobs::ToString(answer.phase)}});
       case OwnerTerm::Knowledge::kNoSuchJob:
-        co_return http::ErrorResponse(404, "not_found", "The job does not exist.");
+        co_return http::ErrorResponse(404, "not_found", "There is no such job.");
       case OwnerTerm::Knowledge::kUnsure:
         co_return http::ErrorResponse(503, "unavailable",
-                                      "This entry has not read the store to its end.");
+                                      "The store has not been read to its end.");
     }
   }
   const std::optional<std::string_view> queue = http::QueryParameter(request.target, "queue");
   if (path == kPendingPath && queue) {
     const std::optional<std::uint64_t> pending = term->PendingIn(std::string(*queue));
     if (!pending) {
-      co_return http::ErrorResponse(503, "unavailable",
-                                    "This entry has not read the store to its end.");
+      co_return http::ErrorResponse(503, "unavailable", "The store has not been read to its end.");
     }
     co_return JsonBody({{"pending", *pending}});
   }
-  co_return http::ErrorResponse(404, "not_found", "The path does not exist.");
+  co_return http::ErrorResponse(404, "not_found", "There is no such page.");
 }
 
 }  // namespace chervilspar::job_entry
--- a/src/job_entry/native_caller_format.cc
+++ b/src/job_entry/native_caller_format.cc
@@ -65,7 +65,7 @@
 }
 
 http::Response NativeCallerFormat::NoSuchJob() const {
-  return http::ErrorResponse(kGone, "not_found", "The job does not exist and never did.");
+  return http::ErrorResponse(kGone, "not_found", "There is no such job, and there was none.");
 }
 
 }  // namespace chervilspar::job_entry
--- a/src/job_entry/run_job_entry.cc
+++ b/src/job_entry/run_job_entry.cc
@@ -48,7 +48,7 @@
       co_return response;
     }
     if (http::PathOf(request.target) != this->context.settings.health_path) {
-      co_return http::ErrorResponse(404, "not_found", "The path does not exist.");
+      co_return http::ErrorResponse(404, "not_found", "There is no such page.");
     }
     if (!this->IsReady()) {
       co_return http::ErrorResponse(503, "not_ready", "Not ready.");
--- a/src/jobs/job.cc
+++ b/src/jobs/job.cc
@@ -21,10 +21,10 @@
     return InvalidField(path + "/count", "must be at least 1");
   }
   if (step.need.cpu < 0 || step.need.memory_mb < 0 || step.need.gpus < 0) {
-    return InvalidField(path, "resources must not be negative");
+    return InvalidField(path, "resources must not be below 0");
   }
   if (step.estimate_ms < 0) {
-    return InvalidField(path + "/estimate", "must not be negative");
+    return InvalidField(path + "/estimate", "must not be below 0");
   }
   for (const std::uint32_t earlier : step.after) {
     if (earlier >= number) {
@@ -104,7 +104,7 @@
     return InvalidField("payload", "is longer than " + std::to_string(kMaxPayloadBytes) + " bytes");
   }
   if (job.steps.empty() || job.steps.size() > kMaxSteps) {
-    return InvalidField("steps", "must contain 1 to " + std::to_string(kMaxSteps) + " steps");
+    return InvalidField("steps", "must be 1 to " + std::to_string(kMaxSteps) + " steps");
   }
   std::uint64_t tasks = 0;
   std::uint32_t number = 0;
@@ -116,10 +116,10 @@
     ++number;
   }
   if (tasks > kMaxTasks) {
-    return InvalidField("steps", "have more than " + std::to_string(kMaxTasks) + " tasks in total");
+    return InvalidField("steps", "have more than " + std::to_string(kMaxTasks) + " tasks together");
   }
   if (job.repeats > 0 && (job.interval_ms < 0 || job.first_due_ms < 0)) {
-    return InvalidField("repeats", "first time and interval must not be negative");
+    return InvalidField("repeats", "first time and interval must not be below 0");
   }
   return Done{};
 }
--- a/src/jobs/job_codec.cc
+++ b/src/jobs/job_codec.cc
@@ -105,7 +105,7 @@
     job.interval_ms = NumberOf<std::int64_t>(in, "interval_ms");
     return job;
   } catch (const std::exception&) {
-    return Reason{ErrorCode::kInvalidArgument, field, "has a value of the wrong type"};
+    return Reason{ErrorCode::kInvalidArgument, field, "has a value of another type"};
   }
 }
 
