--- a/src/job_entry/endpoint_registry.cc
+++ b/src/job_entry/endpoint_registry.cc
@@ -84,7 +84,7 @@
   this->on_change();
 }
 
-void EndpointRegistry::OnStoreRegained() { this->regained = this->context.Now(); }
+void EndpointRegistry::OnStoreRecovered() { this->regained = this->context.Now(); }
 
 std::optional<jobs::EndpointRecord> EndpointRegistry::Read(const KeyedRecord& record) const {
   if (!record.value) {
--- a/src/job_entry/endpoint_registry.h
+++ b/src/job_entry/endpoint_registry.h
@@ -36,7 +36,7 @@
 
   void OnRecords(const std::vector<KeyedRecord>& records) override;
   void OnNewest(const std::vector<KeyedRecord>& records) override;
-  void OnStoreRegained() override;
+  void OnStoreRecovered() override;
 
  private:
   /// What a registration says; nothing for one that can't be read.
--- a/src/job_entry/job_log.cc
+++ b/src/job_entry/job_log.cc
@@ -27,7 +27,7 @@
       next(context.settings.job_partitions),
       read(context.settings.job_partitions) {}
 
-std::vector<asio::awaitable<bool>> JobLog::Loads() {
+std::vector<asio::awaitable<bool>> JobLog::LoadPartitions() {
   std::vector<asio::awaitable<bool>> parts;
   for (std::uint32_t partition = 0; partition < this->read.size(); ++partition) {
     parts.push_back(this->LoadPartition(partition));
--- a/src/job_entry/job_log.h
+++ b/src/job_entry/job_log.h
@@ -25,7 +25,7 @@
 
   /// Each reads one partition; false when the store doesn't answer. Cancellations are kept back
   /// until `ApplyCancellations`, so that progress can be restored in between.
-  std::vector<boost::asio::awaitable<bool>> Loads();
+  std::vector<boost::asio::awaitable<bool>> LoadPartitions();
   void ApplyCancellations();
   void Follow();
   void Stop();
--- a/src/job_entry/job_questions.cc
+++ b/src/job_entry/job_questions.cc
@@ -106,7 +106,7 @@
 
 asio::awaitable<http::Response> PeerHandler::Handle(http::Request request,
                                                     std::shared_ptr<http::CancelToken>) {
-  if (RelayHandler::IsForIt(request)) {
+  if (RelayHandler::IsRelayRequest(request)) {
     co_return co_await this->relay.Handle(std::move(request));
   }
   const std::shared_ptr<OwnerTerm> term = this->election.Term();
--- a/src/job_entry/operator_view.cc
+++ b/src/job_entry/operator_view.cc
@@ -18,7 +18,7 @@
       tail(std::make_shared<RecordTail>(
           context,
           RecordTail::Options{
-              .topic = Topic::kOperators, .wait = kWait, .is_proven_by_waiting = true},
+              .topic = Topic::kOperators, .wait = kWait, .extends_proof_by_wait = true},
           *this)) {}
 
 void OperatorView::OnRecords(const std::vector<KeyedRecord>& records) {
--- a/src/job_entry/order_carrier.cc
+++ b/src/job_entry/order_carrier.cc
@@ -26,13 +26,13 @@
             transport.Send(address, rpc::Encode(std::move(batch)));
           })) {}
 
-WorkLane& OrderCarrier::LaneOf(const std::string& endpoint) {
+WorkQueue& OrderCarrier::LaneOf(const std::string& endpoint) {
   if (this->lanes.size() > kMostLanes) {
     this->lanes.clear();
   }
-  std::shared_ptr<WorkLane>& lane = this->lanes[endpoint];
+  std::shared_ptr<WorkQueue>& lane = this->lanes[endpoint];
   if (lane == nullptr) {
-    lane = std::make_shared<WorkLane>(this->context, kOrdersAtOneEndpoint);
+    lane = std::make_shared<WorkQueue>(this->context, kOrdersAtOneEndpoint);
   }
   return *lane;
 }
--- a/src/job_entry/order_carrier.h
+++ b/src/job_entry/order_carrier.h
@@ -10,7 +10,7 @@
 
 #include "job_entry/address_batches.h"
 #include "job_entry/context.h"
-#include "job_entry/work_lane.h"
+#include "job_entry/work_queue.h"
 
 namespace chervilspar::job_entry {
 
@@ -42,13 +42,13 @@
   boost::asio::awaitable<jobs::OrderOutcome> Start(jobs::StartOrder order, Duration timeout);
   boost::asio::awaitable<void> Hold(rpc::Carried<jobs::HoldOrder> carried, Origin origin);
   void Answer(const Origin& origin, rpc::CarriedAnswer answer);
-  WorkLane& LaneOf(const std::string& endpoint);
+  WorkQueue& LaneOf(const std::string& endpoint);
 
   const Context context;
   EndpointLink& link;
   std::shared_ptr<AddressBatches<rpc::CarriedAnswers>> answers;
   std::function<bool()> may_start;
-  std::map<std::string, std::shared_ptr<WorkLane>> lanes;
+  std::map<std::string, std::shared_ptr<WorkQueue>> lanes;
 };
 
 }  // namespace chervilspar::job_entry
--- a/src/job_entry/order_exchange.cc
+++ b/src/job_entry/order_exchange.cc
@@ -43,7 +43,7 @@
   }
 }
 
-OrderExchange::Bytes OrderExchange::Carried() const {
+OrderExchange::Bytes OrderExchange::CarriedBytes() const {
   if (this->transport == nullptr) {
     return {};
   }
--- a/src/job_entry/order_exchange.h
+++ b/src/job_entry/order_exchange.h
@@ -29,7 +29,7 @@
     std::size_t sent = 0;
     std::size_t received = 0;
   };
-  Bytes Carried() const;
+  Bytes CarriedBytes() const;
   /// Takes and sends nothing any more.
   void Close();
 
--- a/src/job_entry/order_sender.cc
+++ b/src/job_entry/order_sender.cc
@@ -198,7 +198,7 @@
   this->PushAll(orders.paces);
 }
 
-void OrderSender::Attend(const std::vector<std::string>& endpoints) {
+void OrderSender::UpdateEndpoints(const std::vector<std::string>& endpoints) {
   this->DropExcept(endpoints);
   for (const std::string& id : endpoints) {
     Channel& channel = this->ChannelOf(id);
--- a/src/job_entry/order_sender.h
+++ b/src/job_entry/order_sender.h
@@ -26,7 +26,7 @@
 
   void Send(jobs::Orders orders);
   /// Begins to look after endpoints that are new to it.
-  void Attend(const std::vector<std::string>& endpoints);
+  void UpdateEndpoints(const std::vector<std::string>& endpoints);
   /// A record was stored: renewals that confirm ends may go on.
   void OnStored();
   void Stop();
--- a/src/job_entry/owner_term.cc
+++ b/src/job_entry/owner_term.cc
@@ -112,7 +112,7 @@
   Spawn(this->context, this->DecideLoop(self));
   Spawn(this->context, this->StoreLoop(self));
   Spawn(this->context, this->AdviceLoop(self));
-  this->sender.Attend(this->scheduler.EndpointIds());
+  this->sender.UpdateEndpoints(this->scheduler.EndpointIds());
   this->registry.Follow();
   Spawn(this->context, [](std::shared_ptr<OwnerTerm> term) -> asio::awaitable<void> {
     co_await term->vms.Run(term->began, term);
@@ -131,7 +131,7 @@
     return;
   }
   this->SetEndpoints();
-  this->sender.Attend(this->scheduler.EndpointIds());
+  this->sender.UpdateEndpoints(this->scheduler.EndpointIds());
   this->Kick();
 }
 
--- a/src/job_entry/owner_term_load.cc
+++ b/src/job_entry/owner_term_load.cc
@@ -30,7 +30,7 @@
   // Side by side: a slow store takes a quarter of a second for each page. Progress doesn't change
   // any more, as the token is announced.
   std::vector<KeyedRecord> progress;
-  std::vector<asio::awaitable<bool>> parts = this->job_log.Loads();
+  std::vector<asio::awaitable<bool>> parts = this->job_log.LoadPartitions();
   parts.push_back(this->registry.Load());
   parts.push_back(this->ReadProgress(progress));
   const bool is_read =
--- a/src/job_entry/record_relay.cc
+++ b/src/job_entry/record_relay.cc
@@ -195,7 +195,7 @@
   }
 }
 
-bool RelayHandler::IsForIt(const http::Request& request) {
+bool RelayHandler::IsRelayRequest(const http::Request& request) {
   return request.method == "POST" && http::PathOf(request.target) == kRecordsPath;
 }
 
--- a/src/job_entry/record_relay.h
+++ b/src/job_entry/record_relay.h
@@ -74,7 +74,7 @@
  public:
   explicit RelayHandler(const Context& context);
 
-  static bool IsForIt(const http::Request& request);
+  static bool IsRelayRequest(const http::Request& request);
   boost::asio::awaitable<http::Response> Handle(http::Request request) const;
 
  private:
--- a/src/job_entry/record_tail.cc
+++ b/src/job_entry/record_tail.cc
@@ -88,7 +88,7 @@
   }
   if (read->is_at_end) {
     const bool has_waited = read->records.empty() && this->context.Now() - sent >= waited;
-    this->proof = this->options.is_proven_by_waiting && has_waited ? sent + waited : sent;
+    this->proof = this->options.extends_proof_by_wait && has_waited ? sent + waited : sent;
     if (has_news && this->options.gather > Duration::zero()) {
       co_await Pause(this->context, this->options.gather);
     }
@@ -102,7 +102,7 @@
   }
   this->is_lost = !is_answered;
   if (is_answered) {
-    this->listener.OnStoreRegained();
+    this->listener.OnStoreRecovered();
   }
   LogEvent(is_answered ? telemetry::LogLevel::kInfo : telemetry::LogLevel::kWarning,
            is_answered ? "store_regained" : "store_lost",
--- a/src/job_entry/record_tail.h
+++ b/src/job_entry/record_tail.h
@@ -18,7 +18,7 @@
   /// The newest record of each key; keys that are left out have no record any more.
   virtual void OnNewest(const std::vector<KeyedRecord>& records) { this->OnRecords(records); }
   /// The store answers again after it did not.
-  virtual void OnStoreRegained() {}
+  virtual void OnStoreRecovered() {}
 };
 
 /// Follows one partition of a topic for ever.
@@ -35,7 +35,7 @@
     Duration wait = std::chrono::seconds(1);
     /// Takes an empty answer as proof up to the end of its wait, not only up to its beginning. The
     /// platform's reads may miss records for up to a second, so only for what bears that.
-    bool is_proven_by_waiting = false;
+    bool extends_proof_by_wait = false;
     /// Between news and the next read, so that what comes in quick succession is read together.
     Duration gather{};
     /// Where to begin; absent: with the newest of each key.
--- a/src/job_entry/run_job_entry.cc
+++ b/src/job_entry/run_job_entry.cc
@@ -177,7 +177,7 @@
     while (true) {
       co_await Pause(this->context, kSweep);
       this->client.CloseStale();
-      const OrderExchange::Bytes carried = this->exchange.Carried();
+      const OrderExchange::Bytes carried = this->exchange.CarriedBytes();
       this->traffic.OnExchange("carried", carried.sent - this->carried.sent,
                                carried.received - this->carried.received);
       this->carried = carried;
--- a/src/job_entry/vm_driver.cc
+++ b/src/job_entry/vm_driver.cc
@@ -46,7 +46,7 @@
       sizer(context.settings.decisions.sizer),
       sizes_log(scheduler, this->sizer),
       budget(context.settings.vm_order_rate),
-      orders(std::make_shared<WorkLane>(context, kOrdersAtOnce)) {}
+      orders(std::make_shared<WorkQueue>(context, kOrdersAtOnce)) {}
 
 std::string VmDriver::KeyOf(std::uint64_t wave) { return kWavePrefix + std::to_string(wave); }
 
@@ -245,7 +245,7 @@
   }
 }
 
-void VmDriver::Order(WorkLane::Work order) {
+void VmDriver::Order(WorkQueue::Work order) {
   this->orders->Add([owner = this->owner.lock(), order = std::move(order)] { return order(); });
 }
 
--- a/src/job_entry/vm_driver.h
+++ b/src/job_entry/vm_driver.h
@@ -16,7 +16,7 @@
 #include "job_entry/owner_directory.h"
 #include "job_entry/owner_proof.h"
 #include "job_entry/pool_sizes_log.h"
-#include "job_entry/work_lane.h"
+#include "job_entry/work_queue.h"
 
 namespace chervilspar::job_entry {
 
@@ -63,7 +63,7 @@
   void Resize(bool may_order);
   boost::asio::awaitable<void> Move(VmId vm, ServiceId pool);
   /// Has an order carried out after those before it.
-  void Order(WorkLane::Work order);
+  void Order(WorkQueue::Work order);
   /// Reads the list of VMs if the last reading is old enough; false when it isn't to be had.
   /// `first_order`: before this no order is given.
   boost::asio::awaitable<bool> ReadList(TimePoint first_order);
@@ -112,7 +112,7 @@
   jobs::PoolSizer sizer;
   PoolSizesLog sizes_log;
   jobs::OrderBudget budget;
-  std::shared_ptr<WorkLane> orders;
+  std::shared_ptr<WorkQueue> orders;
 };
 
 }  // namespace chervilspar::job_entry
--- a/src/job_entry/work_lane.cc
+++ b/src/job_entry/work_queue.cc
@@ -1,10 +1,10 @@
-#include "job_entry/work_lane.h"
+#include "job_entry/work_queue.h"
 
 #include <utility>
 
 namespace chervilspar::job_entry {
 
-void WorkLane::Add(Work work) {
+void WorkQueue::Add(Work work) {
   this->waiting.push_back(std::move(work));
   if (this->runners < this->most) {
     ++this->runners;
@@ -12,7 +12,7 @@
   }
 }
 
-boost::asio::awaitable<void> WorkLane::Run([[maybe_unused]] std::shared_ptr<WorkLane> self) {
+boost::asio::awaitable<void> WorkQueue::Run([[maybe_unused]] std::shared_ptr<WorkQueue> self) {
   while (!this->waiting.empty()) {
     const Work work = std::move(this->waiting.front());
     this->waiting.pop_front();
--- a/src/job_entry/work_lane.h
+++ b/src/job_entry/work_queue.h
@@ -13,18 +13,18 @@
 ///
 /// What can go wrong: hundreds of calls to one address leave at once, the client has fewer
 /// connections than that, and all but the first few fail without having been sent.
-class WorkLane : public std::enable_shared_from_this<WorkLane> {
+class WorkQueue : public std::enable_shared_from_this<WorkQueue> {
  public:
   using Work = std::function<boost::asio::awaitable<void>()>;
 
   /// `most`: pieces of work under way at once.
-  WorkLane(const Context& context, std::size_t most) : context(context), most(most) {}
+  WorkQueue(const Context& context, std::size_t most) : context(context), most(most) {}
 
   /// Work keeps alive what it uses.
   void Add(Work work);
 
  private:
-  boost::asio::awaitable<void> Run(std::shared_ptr<WorkLane> self);
+  boost::asio::awaitable<void> Run(std::shared_ptr<WorkQueue> self);
 
   const Context context;
   const std::size_t most;
--- a/tests/job_entry/carrying_test.cc
+++ b/tests/job_entry/carrying_test.cc
@@ -94,7 +94,7 @@
                  [this] { return this->fleet.endpoints.starts.size() > 6; });
   FakeEntry& carrier =
       owner == this->fleet.entries[0].get() ? *this->fleet.entries[1] : *this->fleet.entries[0];
-  carrier.Cut();
+  carrier.Disconnect();
   this->RunUntil(std::chrono::seconds(15), [this] { return this->AreAllDone(); });
   EXPECT_TRUE(this->AreAllDone());
   EXPECT_TRUE(this->fleet.endpoints.violations.empty()) << this->fleet.endpoints.violations.front();
@@ -110,7 +110,7 @@
   this->SubmitAll(other);
   this->RunUntil(std::chrono::seconds(3),
                  [this] { return this->fleet.endpoints.starts.size() > 6; });
-  owner->Cut();
+  owner->Disconnect();
   this->RunUntil(std::chrono::seconds(20), [this] { return this->AreAllDone(); });
   EXPECT_TRUE(this->AreAllDone());
   EXPECT_TRUE(this->fleet.endpoints.violations.empty()) << this->fleet.endpoints.violations.front();
@@ -151,7 +151,7 @@
   FakeEntry* const owner = this->Settle();
   ASSERT_NE(owner, nullptr);
   for (const auto& entry : this->fleet.entries) {
-    entry->endpoints->is_cut = entry.get() != owner;
+    entry->endpoints->is_disconnected = entry.get() != owner;
   }
   this->SubmitAll(*owner);
   this->RunUntil(std::chrono::seconds(15), [this] { return this->AreAllDone(); });
@@ -165,7 +165,7 @@
   FakeEntry* const owner = this->Settle();
   ASSERT_NE(owner, nullptr);
   for (const auto& entry : this->fleet.entries) {
-    entry->endpoints->is_cut = true;
+    entry->endpoints->is_disconnected = true;
   }
   auto* const carried = dynamic_cast<CarriedEndpoints*>(owner->links.endpoints.get());
   ASSERT_NE(carried, nullptr);
--- a/tests/job_entry/crowded_store_test.cc
+++ b/tests/job_entry/crowded_store_test.cc
@@ -54,7 +54,7 @@
  protected:
   CrowdedStore() : fleet(this->io, 0) {
     this->fleet.store.append_time = kSlowAppend;
-    this->fleet.store.longest_queue = kLongestQueue;
+    this->fleet.store.max_queue_time = kLongestQueue;
     for (int i = 0; i < kEntries; ++i) {
       this->entries.push_back(std::make_unique<FakeEntry>(this->io, this->fleet.store,
                                                           this->fleet.endpoints, this->fleet.vms,
--- a/tests/job_entry/election_test.cc
+++ b/tests/job_entry/election_test.cc
@@ -30,7 +30,7 @@
   FakeEntry& first = fleet.AddEntry("n");
   io.run_for(milliseconds(500));
   fleet.store.append_time = kSlowAppend;
-  owner.Cut();
+  owner.Disconnect();
   RunUntil(io, seconds(5), [&] { return first.store->appends > 0; });
   ASSERT_GT(first.store->appends, 0);
   // The group chooses by name.
@@ -52,11 +52,11 @@
   // The group chooses by name.
   FakeEntry& chosen = fleet.AddEntry("a");
   io.run_for(milliseconds(500));
-  chosen.store->silent_reads = Topic::kOwners;
+  chosen.store->unanswered_reads = Topic::kOwners;
   io.run_for(seconds(1));
   const OwnerClaim missed{"x", "x", owner.settings.peers};
   fleet.store.At(Topic::kOwners, 0).records.push_back({kOwnerKey, EncodeClaim(missed)});
-  owner.Cut();
+  owner.Disconnect();
   RunUntil(io, kLongTakeover, [&] { return IsServing(chosen); });
   EXPECT_TRUE(IsServing(chosen));
 }
@@ -107,7 +107,7 @@
 /// its claim was on its way.
 TEST_F(TakeoverInASlowStore, TheClaimantStaysInTheGroup) {
   this->fleet.store.append_time = kSlowAppend;
-  this->owner.Cut();
+  this->owner.Disconnect();
   bool is_dropped = false;
   RunUntil(this->io, seconds(8), [&] {
     is_dropped = is_dropped || !IsMember(this->fleet, "n");
@@ -119,7 +119,7 @@
 
 /// Guards against work that waits for answers of the store which could be asked for together.
 TEST_F(TakeoverInASlowStore, TheStateIsReadSideBySide) {
-  this->owner.Cut();
+  this->owner.Disconnect();
   RunUntil(this->io, seconds(8), [&] { return ClaimsIn(this->fleet) == 2; });
   ASSERT_EQ(ClaimsIn(this->fleet), 2U);
   const TimePoint claimed = this->successor->context.Now();
--- a/tests/job_entry/endpoint_registry_test.cc
+++ b/tests/job_entry/endpoint_registry_test.cc
@@ -64,11 +64,11 @@
 /// The store was away for longer than registrations last. Taken at its word on its return, no
 /// endpoint is left to place work on until they have registered again.
 TEST_F(RegistryTest, KeepsWhatLapsedInAnOutageUntilItHadTimeToReturn) {
-  this->entry.store->is_cut = true;
+  this->entry.store->is_disconnected = true;
   this->io.run_for(milliseconds(2500));
   this->Write("i0", std::nullopt);
   this->Write("i1", std::nullopt);
-  this->entry.store->is_cut = false;
+  this->entry.store->is_disconnected = false;
   this->io.run_for(milliseconds(1800));
   EXPECT_EQ(this->registry.Count(), 2U);
   this->Write("i1", "x");
--- a/tests/job_entry/fake_endpoints.cc
+++ b/tests/job_entry/fake_endpoints.cc
@@ -36,7 +36,7 @@
     return;
   }
   const TimePoint ended_at = endpoint.ended_at.at(ended.number);
-  if (endpoint.lapsed > ended_at) {
+  if (endpoint.lapsed_at > ended_at) {
     return;
   }
   this->confirmed.insert(ended.task);
@@ -50,7 +50,7 @@
   const TimePoint now = Now();
   for (auto& [id, endpoint] : this->endpoints) {
     if (endpoint.lease_end < now) {
-      endpoint.lapsed = endpoint.lease_end;
+      endpoint.lapsed_at = endpoint.lease_end;
     }
     for (auto run = endpoint.active.begin(); run != endpoint.active.end();) {
       const bool is_done = run->second.ends <= now && run->second.ends <= run->second.lease_end;
@@ -83,13 +83,13 @@
 asio::awaitable<FakeEndpoints::Endpoint*> FakeEndpointLink::Reach(const std::string& endpoint,
                                                                   Duration timeout) {
   FakeEndpoints::Endpoint& found = this->all.endpoints[endpoint];
-  if (this->is_cut || found.is_dark) {
+  if (this->is_disconnected || found.is_unreachable) {
     co_await this->Wait(timeout);
     co_return nullptr;
   }
   co_await this->Wait(this->delay + std::chrono::milliseconds(1));
   this->all.Advance();
-  co_return this->is_cut || found.is_dark ? nullptr : &found;
+  co_return this->is_disconnected || found.is_unreachable ? nullptr : &found;
 }
 
 asio::awaitable<HeldOutcome> FakeEndpointLink::Hold(jobs::HoldOrder order, Duration timeout) {
@@ -167,8 +167,9 @@
   if (this->all.IsRunning(order.task)) {
     this->all.violations.push_back(jobs::ToString(order.task) + " runs twice at once");
   }
-  const bool is_over = this->all.is_unheard_end_forgiven ? this->all.confirmed.contains(order.task)
-                                                         : this->all.done.contains(order.task);
+  const bool is_over = this->all.may_rerun_after_unreported_end
+                           ? this->all.confirmed.contains(order.task)
+                           : this->all.done.contains(order.task);
   if (is_over) {
     this->all.violations.push_back(jobs::ToString(order.task) + " starts after it has ended well");
   }
--- a/tests/job_entry/fake_endpoints.h
+++ b/tests/job_entry/fake_endpoints.h
@@ -34,8 +34,8 @@
     /// All leases given in this life end by then.
     TimePoint lease_end{};
     /// When the leases last lapsed.
-    TimePoint lapsed{};
-    bool is_dark = false;
+    TimePoint lapsed_at{};
+    bool is_unreachable = false;
 
     /// The process starts anew under the same name: it runs and knows nothing.
     void Restart();
@@ -57,7 +57,7 @@
   std::map<jobs::TaskKey, TimePoint> last_start;
   /// A task may start again after an end that nobody was told of before the leases lapsed. Tests
   /// without such faults are stricter: no task starts again after it has ended well.
-  bool is_unheard_end_forgiven = false;
+  bool may_rerun_after_unreported_end = false;
   std::vector<std::string> violations;
   std::vector<TimePoint> starts;
 };
@@ -73,7 +73,7 @@
   boost::asio::awaitable<jobs::OrderOutcome> Stop(jobs::StopOrder order, Duration timeout) override;
   boost::asio::awaitable<jobs::OrderOutcome> Pace(jobs::PaceOrder order, Duration timeout) override;
 
-  bool is_cut = false;
+  bool is_disconnected = false;
   /// What the endpoints answer comes this much later.
   Duration delay{};
   /// Starts that were given through this link.
--- a/tests/job_entry/fake_fleet.cc
+++ b/tests/job_entry/fake_fleet.cc
@@ -90,7 +90,7 @@
       writer(std::make_shared<JobWriter>(this->context)),
       election(std::make_shared<Election>(this->context, this->operators, this->directory)) {}
 
-void FakeEntry::Carry(std::uint16_t port) {
+void FakeEntry::EnableCarrying(std::uint16_t port) {
   this->settings.carrier = SocketAddress{"127.0.0.1", port};
   this->settings.decisions.carriers.endpoints_per_core = 0;
   auto carried =
@@ -108,9 +108,9 @@
   this->election->Start();
 }
 
-void FakeEntry::Cut() {
-  this->store->is_cut = true;
-  this->endpoints->is_cut = true;
+void FakeEntry::Disconnect() {
+  this->store->is_disconnected = true;
+  this->endpoints->is_disconnected = true;
   if (this->exchange != nullptr) {
     this->exchange->Close();
   }
@@ -158,7 +158,7 @@
 FakeEntry& FakeFleet::AddCarrier(const std::string& name, std::uint16_t port) {
   this->entries.push_back(
       std::make_unique<FakeEntry>(this->io, this->store, this->endpoints, this->vms, name));
-  this->entries.back()->Carry(port);
+  this->entries.back()->EnableCarrying(port);
   this->entries.back()->Start();
   return *this->entries.back();
 }
--- a/tests/job_entry/fake_fleet.h
+++ b/tests/job_entry/fake_fleet.h
@@ -94,10 +94,10 @@
 
   /// Carries orders for the owner at this port of the loopback address, and as owner has others
   /// carry its own, however few endpoints there are; before `Start`.
-  void Carry(std::uint16_t port);
+  void EnableCarrying(std::uint16_t port);
   void Start();
   /// The process is gone, or cut off from everything; it can't be told from outside.
-  void Cut();
+  void Disconnect();
   OwnerTerm::Answer Find(const jobs::JobId& id) const;
 
   JobEntrySettings settings;
--- a/tests/job_entry/fake_store.cc
+++ b/tests/job_entry/fake_store.cc
@@ -24,12 +24,12 @@
 }
 
 asio::awaitable<bool> FakeStoreLink::Reach(Duration timeout) {
-  if (this->is_cut || this->store.is_down) {
+  if (this->is_disconnected || this->store.is_down) {
     co_await this->Wait(timeout);
     co_return false;
   }
   co_await this->Wait(this->store.answer_time);
-  co_return !this->is_cut && !this->store.is_down;
+  co_return !this->is_disconnected && !this->store.is_down;
 }
 
 asio::awaitable<AppendOutcome> FakeStoreLink::Append(Topic topic, std::uint32_t partition,
@@ -58,7 +58,7 @@
   if (!is_reached) {
     co_return outcome;
   }
-  if (this->unanswered == topic) {
+  if (this->unanswered_appends == topic) {
     co_await this->Wait(timeout);
     co_return outcome;
   }
@@ -70,9 +70,9 @@
   }
   FakeStore::Partition& at = this->store.At(topic, partition);
   Duration before{};
-  if (this->store.longest_queue) {
+  if (this->store.max_queue_time) {
     before = std::max<Duration>(at.busy_until - Now(), Duration::zero());
-    if (before > *this->store.longest_queue) {
+    if (before > *this->store.max_queue_time) {
       outcome.kind = AppendOutcome::Kind::kNotStored;
       co_return outcome;
     }
@@ -112,7 +112,7 @@
     this->refuse_appends += this->refuses_after_loss ? 100 : 0;
     co_return outcome;
   }
-  if (!this->is_cut) {
+  if (!this->is_disconnected) {
     outcome.kind = AppendOutcome::Kind::kStored;
   }
   co_return outcome;
@@ -127,7 +127,7 @@
     if (!is_reached) {
       co_return kNoAnswer;
     }
-    if (this->silent_reads == topic) {
+    if (this->unanswered_reads == topic) {
       co_await this->Wait(timeout);
       co_return kNoAnswer;
     }
@@ -148,7 +148,7 @@
 asio::awaitable<Result<NewestOutcome>> FakeStoreLink::Newest(Topic topic, std::uint32_t partition,
                                                              Duration timeout) {
   const int reads = ++this->reads[topic];
-  this->most_reads[topic] = std::max(this->most_reads[topic], reads);
+  this->max_concurrent_reads[topic] = std::max(this->max_concurrent_reads[topic], reads);
   const bool is_reached = co_await this->Reach(timeout);
   --this->reads[topic];
   if (!is_reached) {
--- a/tests/job_entry/fake_store.h
+++ b/tests/job_entry/fake_store.h
@@ -45,7 +45,7 @@
   Duration append_time = std::chrono::milliseconds(4);
   /// A partition carries out one append after the other, and refuses what would wait for longer
   /// than this.
-  std::optional<Duration> longest_queue;
+  std::optional<Duration> max_queue_time;
   /// Nothing answers and nothing is done.
   bool is_down = false;
 };
@@ -73,7 +73,7 @@
   boost::asio::awaitable<Status> Leave(std::string member, Duration timeout) override;
 
   /// The entry is cut off, frozen or dead: its calls get no answer and do nothing.
-  bool is_cut = false;
+  bool is_disconnected = false;
   /// Each read of all jobs of a partition takes this long, as on a link that they fill.
   Duration jobs_read_time{};
   /// The next appends are refused for certain.
@@ -85,11 +85,11 @@
   int appends = 0;
   /// Reads of a topic's newest records: so many are under way, and so many were at once.
   std::map<Topic, int> reads;
-  std::map<Topic, int> most_reads;
+  std::map<Topic, int> max_concurrent_reads;
   /// Reads that wait for news of this topic get no answer, as on a connection that fell silent.
-  std::optional<Topic> silent_reads;
+  std::optional<Topic> unanswered_reads;
   /// Appends to this topic get no answer and do nothing.
-  std::optional<Topic> unanswered;
+  std::optional<Topic> unanswered_appends;
 
  private:
   boost::asio::awaitable<void> Wait(Duration span);
--- a/tests/job_entry/fleet_test.cc
+++ b/tests/job_entry/fleet_test.cc
@@ -77,7 +77,7 @@
   for (int i = 0; i < kTakeovers; ++i) {
     FakeFleet& fleet = *fleets[i];
     FakeEntry& owner = owners[i] == fleet.entries[0].get() ? *fleet.entries[1] : *fleet.entries[0];
-    owner.Cut();
+    owner.Disconnect();
     killed[i] = clock.Now();
   }
   const auto is_complete = [&](int i) {
@@ -143,8 +143,8 @@
                             accepted[i] = is_accepted ? 1 : 0;
                             auto timer = std::make_shared<asio::steady_timer>(io, delay);
                             timer->async_wait([timer, &fleet](const auto&) {
-                              fleet.entries[0]->Cut();
-                              fleet.entries[1]->Cut();
+                              fleet.entries[0]->Disconnect();
+                              fleet.entries[1]->Disconnect();
                             });
                           }),
                    asio::detached);
@@ -189,9 +189,9 @@
   RunUntil(io, std::chrono::seconds(5), [&] { return !fleet.endpoints.starts.empty(); });
   io.run_for(milliseconds(100));
   for (auto& [id, endpoint] : fleet.endpoints.endpoints) {
-    endpoint.is_dark = !endpoint.active.empty();
+    endpoint.is_unreachable = !endpoint.active.empty();
   }
-  first.Cut();
+  first.Disconnect();
   RunUntil(io, std::chrono::seconds(15), [&] { return fleet.endpoints.starts.size() > 1; });
   EXPECT_EQ(fleet.endpoints.starts.size(), 2U);
   EXPECT_TRUE(fleet.endpoints.violations.empty());
@@ -222,7 +222,7 @@
   RunUntil(io, std::chrono::seconds(15), is_told);
   ASSERT_TRUE(is_told());
   io.run_for(milliseconds(200));
-  first.Cut();
+  first.Disconnect();
   FakeEntry& second = fleet.AddEntry("b");
   RunUntil(io, std::chrono::seconds(5), [&] {
     return second.election->Term() != nullptr && second.election->Term()->IsServing();
@@ -260,7 +260,7 @@
   FakeEntry& owner = is_serving(first) ? first : second;
   FakeEntry& successor = &owner == &first ? second : first;
   ASSERT_TRUE(IsServing(owner));
-  owner.Cut();
+  owner.Disconnect();
   RunUntil(io, std::chrono::seconds(6), [&] { return is_serving(successor); });
   ASSERT_TRUE(is_serving(successor));
   io.run_for(milliseconds(1500));
@@ -344,7 +344,7 @@
   submit();
   io.run_for(milliseconds(500));
   EXPECT_EQ(fleet.endpoints.starts.size(), 2U) << "a repeat after the end";
-  owner.Cut();
+  owner.Disconnect();
   RunUntil(io, std::chrono::seconds(8), [&] { return IsServing(other); });
   ASSERT_TRUE(IsServing(other));
   EXPECT_EQ(other.Find(job.id).phase, jobs::JobPhase::kComplete);
@@ -388,7 +388,7 @@
   for (std::size_t i = 0; i < fleet.entries.size(); ++i) {
     EXPECT_TRUE(i == GetParam().owner || !is_serving(i)) << "two owners";
   }
-  fleet.entries[GetParam().owner]->Cut();
+  fleet.entries[GetParam().owner]->Disconnect();
   RunUntil(io, std::chrono::seconds(12), [&] { return is_serving(GetParam().successor); });
   EXPECT_TRUE(is_serving(GetParam().successor));
   EXPECT_TRUE(fleet.endpoints.violations.empty());
--- a/tests/job_entry/job_writer_test.cc
+++ b/tests/job_entry/job_writer_test.cc
@@ -68,7 +68,7 @@
                       link.refuses_after_loss = true;
                     },
                     WriteVerdict::kMayBeStored, 1},
-        VerdictCase{"is_silent", [](FakeStoreLink& link) { link.is_cut = true; },
+        VerdictCase{"is_silent", [](FakeStoreLink& link) { link.is_disconnected = true; },
                     WriteVerdict::kMayBeStored, 0}),
     [](const auto& info) { return info.param.name; });
 
--- a/tests/job_entry/record_relay_test.cc
+++ b/tests/job_entry/record_relay_test.cc
@@ -83,8 +83,8 @@
         RelayCase{"sound", [](FakeStoreLink&) {}, WriteVerdict::kStored, WriteVerdict::kStored, 0},
         RelayCase{"turned_away", [](FakeStoreLink& link) { link.refuse_appends = 9; },
                   WriteVerdict::kStored, WriteVerdict::kStored, 1},
-        RelayCase{"cut_off", [](FakeStoreLink& link) { link.is_cut = true; }, WriteVerdict::kStored,
-                  WriteVerdict::kStored, 1},
+        RelayCase{"cut_off", [](FakeStoreLink& link) { link.is_disconnected = true; },
+                  WriteVerdict::kStored, WriteVerdict::kStored, 1},
         RelayCase{"nobody_can_write", [](FakeStoreLink& link) { link.refuse_appends = 9; },
                   WriteVerdict::kNotStored, WriteVerdict::kNotStored, 1},
         RelayCase{"the_other_is_unsure", [](FakeStoreLink& link) { link.refuse_appends = 99; },
@@ -112,7 +112,7 @@
       io,
       [&]() -> asio::awaitable<void> {
         http::Request request{"POST", "/v1/records", {}, GetParam().body};
-        EXPECT_TRUE(RelayHandler::IsForIt(request));
+        EXPECT_TRUE(RelayHandler::IsRelayRequest(request));
         const http::Response response = co_await handler.Handle(std::move(request));
         status = response.status;
       },
--- a/tests/job_entry/slow_takeover_test.cc
+++ b/tests/job_entry/slow_takeover_test.cc
@@ -50,7 +50,7 @@
 
 /// Everything that ran has lapsed when the jobs are read, and all of it starts anew at once.
 TEST_F(SlowTakeover, WhatRunsOutlivesTheReadingOfTheJobs) {
-  this->owner.Cut();
+  this->owner.Disconnect();
   this->RunUntil(std::chrono::seconds(12), [this] { return IsServing(*this->successor); });
   ASSERT_TRUE(IsServing(*this->successor));
   this->io.run_for(milliseconds(1500));
@@ -61,11 +61,11 @@
 /// An endpoint falls silent in the middle of the reading, after its leases were renewed. Its work
 /// must not start elsewhere before those have lapsed.
 TEST_F(SlowTakeover, WorkOfAnEndpointThatFallsSilentWaitsForTheLeasesOfTheReading) {
-  this->owner.Cut();
+  this->owner.Disconnect();
   this->io.run_for(milliseconds(4000));
   ASSERT_FALSE(IsServing(*this->successor));
   for (auto& [id, endpoint] : this->fleet.endpoints.endpoints) {
-    endpoint.is_dark = true;
+    endpoint.is_unreachable = true;
     break;
   }
   this->RunUntil(std::chrono::seconds(16),
--- a/tests/job_entry/vm_driver_test.cc
+++ b/tests/job_entry/vm_driver_test.cc
@@ -130,7 +130,7 @@
 /// stored that it was told before it was.
 TEST(VmDriver, AnEndThatIsNotToldIsNotStored) {
   DriverWorld world(1);
-  world.entry.store->unanswered = Topic::kStatus;
+  world.entry.store->unanswered_appends = Topic::kStatus;
   world.Start();
   world.RunUntil(std::chrono::seconds(3), [&] { return !world.fleet.vms.reboots.empty(); });
   ASSERT_FALSE(world.fleet.vms.reboots.empty());
@@ -169,7 +169,7 @@
   world.Start();
   world.RunUntil(std::chrono::seconds(4), [&] { return world.fleet.vms.tokens.size() >= 3; });
   EXPECT_GE(world.fleet.vms.tokens.size(), 3U);
-  EXPECT_EQ(world.entry.store->most_reads[Topic::kOwners], 1);
+  EXPECT_EQ(world.entry.store->max_concurrent_reads[Topic::kOwners], 1);
 }
 
 /// How the endpoint of a VM that is being emptied comes to be another than it was.
--- a/tests/job_entry/work_lane_test.cc
+++ b/tests/job_entry/work_queue_test.cc
@@ -1,4 +1,4 @@
-#include "job_entry/work_lane.h"
+#include "job_entry/work_queue.h"
 
 #include <algorithm>
 
@@ -26,7 +26,7 @@
   asio::io_context io;
   FakeFleet fleet(io);
   FakeEntry entry(io, fleet.store, fleet.endpoints, fleet.vms, "a");
-  const auto lane = std::make_shared<WorkLane>(entry.context, GetParam().most);
+  const auto lane = std::make_shared<WorkQueue>(entry.context, GetParam().most);
   int running = 0;
   int at_once = 0;
   std::vector<int> done;
--- a/tests/soak/soak_fleet.cc
+++ b/tests/soak/soak_fleet.cc
@@ -24,7 +24,7 @@
       binary(std::move(binary)),
       log_dir(std::move(log_dir)),
       relay(io) {
-  this->endpoints.is_unheard_end_forgiven = true;
+  this->endpoints.may_rerun_after_unreported_end = true;
   const SocketAddress store_address = this->ports.Next();
   this->Listen(store_address, this->store_server);
   for (int i = 0; i < sizes.entries; ++i) {
