--- a/src/job_entry/address_batches.h
+++ b/src/job_entry/address_batches.h
@@ -9,41 +9,42 @@
 
 namespace chervilspar::job_entry {
 
-/// Gathers what goes to the same address for a few milliseconds and hands it on in one piece: an
-/// entry sends one frame where it would send fifty.
+/// Collects messages to the same address for a few milliseconds and sends them as one batch, so
+/// that a burst of some fifty messages takes one frame.
 template <typename Batch>
-class AddressBatches : public std::enable_shared_from_this<AddressBatches<Batch>> {
+class AddressBatcher : public std::enable_shared_from_this<AddressBatcher<Batch>> {
  public:
   using Sink = std::function<void(const std::string& address, Batch batch)>;
 
-  AddressBatches(const Context& context, Duration gather, Sink sink)
-      : context(context), gather(gather), sink(std::move(sink)) {}
+  /// `delay`: how long a batch is collected before `sink` receives it.
+  AddressBatcher(const Context& context, Duration delay, Sink sink)
+      : context(context), delay(delay), sink(std::move(sink)) {}
 
-  /// The batch for `address` that is being gathered.
+  /// The batch for `address` that is being collected.
   Batch& At(const std::string& address) {
-    if (!this->is_gathering) {
-      this->is_gathering = true;
-      Spawn(this->context, this->HandOn(this->shared_from_this()));
+    if (!this->is_flush_pending) {
+      this->is_flush_pending = true;
+      Spawn(this->context, this->FlushAfterDelay(this->shared_from_this()));
     }
     return this->batches[address];
   }
 
  private:
-  boost::asio::awaitable<void> HandOn(
-      [[maybe_unused]] std::shared_ptr<AddressBatches<Batch>> self) {
-    co_await Pause(this->context, this->gather);
-    this->is_gathering = false;
-    std::map<std::string, Batch> gathered = std::move(this->batches);
+  boost::asio::awaitable<void> FlushAfterDelay(
+      [[maybe_unused]] std::shared_ptr<AddressBatcher<Batch>> self) {
+    co_await Pause(this->context, this->delay);
+    this->is_flush_pending = false;
+    std::map<std::string, Batch> collected = std::move(this->batches);
     this->batches.clear();
-    for (auto& [address, batch] : gathered) {
+    for (auto& [address, batch] : collected) {
       this->sink(address, std::move(batch));
     }
   }
 
   const Context context;
-  const Duration gather;
+  const Duration delay;
   const Sink sink;
-  bool is_gathering = false;
+  bool is_flush_pending = false;
   std::map<std::string, Batch> batches;
 };
 
--- a/src/job_entry/carried_endpoints.cc
+++ b/src/job_entry/carried_endpoints.cc
@@ -12,27 +12,27 @@
 
 namespace {
 
-/// Orders that are decided on together go to a carrier together.
-constexpr Duration kGather = std::chrono::milliseconds(3);
-/// On top of what an order may take at its endpoint: the ways to the carrier and back, and what
-/// waits there.
-constexpr Duration kWayMargin = std::chrono::milliseconds(250);
-/// Orders to one endpoint under way at once. The carrier brings them to the endpoint a few at a
-/// time; here they only have to be gathered.
-constexpr std::size_t kCarriedAtOnce = 24;
-/// Orders without answer whose carriers are remembered, in case they answer late.
-constexpr std::size_t kMostGivenUp = 1024;
-
-/// What can go wrong: this process starts again at its address while a carrier still holds orders
-/// of the former one, and takes the answers to these for answers to its own.
-std::uint64_t FirstNumber() {
+/// Orders of one scheduling decision go to their carrier in one batch.
+constexpr Duration kBatchDelay = std::chrono::milliseconds(3);
+/// Added to the timeout at the endpoint: covers both network hops to the carrier and the queueing
+/// there.
+constexpr Duration kForwardingMargin = std::chrono::milliseconds(250);
+/// Concurrent orders to one endpoint through a carrier. The carrier limits the concurrency at the
+/// endpoint; here a large number only lets orders share a batch.
+constexpr std::size_t kMaxForwardedOrders = 24;
+/// Unanswered orders whose carriers are remembered, in case an answer comes late.
+constexpr std::size_t kMaxAbandonedOrders = 1024;
+
+/// Order numbers start at a random value. A restarted process keeps its address, and carriers may
+/// still answer orders of the previous process; these answers must not match new orders.
+std::uint64_t RandomFirstNumber() {
   std::random_device device;
-  // Signed on the wire, with room to count up.
+  // At most 62 bits: the number is signed on the wire and has to be able to count up.
   return (std::uint64_t{device()} << 30U) ^ device();
 }
 
-/// Whether the order has reached the endpoint for certain.
-bool IsFromEndpoint(OrderOutcome outcome) {
+/// Whether this outcome proves that the order has reached the endpoint.
+bool HasReachedEndpoint(OrderOutcome outcome) {
   return outcome != OrderOutcome::kNoAnswer && outcome != OrderOutcome::kNotSent &&
          outcome != OrderOutcome::kTooLate;
 }
@@ -43,13 +43,13 @@
     : context(context),
       direct(std::move(direct)),
       choice(context.settings.decisions.carriers, context.settings.cores),
-      next_number(FirstNumber()) {}
+      next_number(RandomFirstNumber()) {}
 
 void CarriedEndpoints::Open(rpc::PeerTransport& transport, std::string own_address) {
   this->transport = &transport;
   this->own_address = std::move(own_address);
-  this->batches = std::make_shared<AddressBatches<rpc::OrderBatch>>(
-      this->context, kGather, [&transport](const std::string& address, rpc::OrderBatch batch) {
+  this->batches = std::make_shared<AddressBatcher<rpc::OrderBatch>>(
+      this->context, kBatchDelay, [&transport](const std::string& address, rpc::OrderBatch batch) {
         transport.Send(address, rpc::Encode(std::move(batch)));
       });
 }
@@ -63,8 +63,8 @@
     }
   }
   this->choice.SetCarriers(carriers);
-  // Who is no member any more won't answer.
-  for (const auto& [number, entry] : this->waiting) {
+  // Carriers that have left the group won't answer.
+  for (const auto& [number, entry] : this->pending) {
     if (!this->choice.IsCarrier(entry->carrier)) {
       entry->wakeup->Notify();
     }
@@ -81,7 +81,7 @@
 }
 
 std::size_t CarriedEndpoints::OrdersAtOnce(const std::string& endpoint) const {
-  return this->CarrierFor(endpoint) ? kCarriedAtOnce : kOrdersAtOneEndpoint;
+  return this->CarrierFor(endpoint) ? kMaxForwardedOrders : kOrdersAtOneEndpoint;
 }
 
 rpc::OrderBatch& CarriedEndpoints::BatchFor(const std::string& carrier, Duration timeout) {
@@ -93,13 +93,13 @@
 
 void CarriedEndpoints::OnAnswers(rpc::CarriedAnswers answers) {
   for (rpc::CarriedAnswer& answer : answers) {
-    const auto found = this->waiting.find(answer.number);
-    if (found == this->waiting.end()) {
-      this->TakeLate(answer);
+    const auto found = this->pending.find(answer.number);
+    if (found == this->pending.end()) {
+      this->OnLateAnswer(answer);
       continue;
     }
     if (answer.outcome == OrderOutcome::kNoAnswer) {
-      // Its way to the endpoint may be cut where another's isn't.
+      // The carrier may be disconnected from the endpoint while another carrier isn't.
       this->choice.OnMissed(found->second->carrier, this->context.Now());
     } else {
       this->choice.OnAnswered(found->second->carrier);
@@ -109,39 +109,40 @@
   }
 }
 
-void CarriedEndpoints::GiveUp(std::uint64_t number, const std::string& carrier) {
+void CarriedEndpoints::Abandon(std::uint64_t number, const std::string& carrier) {
   this->choice.OnMissed(carrier, this->context.Now());
-  this->given_up.emplace(number, carrier);
-  if (this->given_up.size() > kMostGivenUp) {
-    this->given_up.erase(this->given_up.begin());
+  this->abandoned.emplace(number, carrier);
+  if (this->abandoned.size() > kMaxAbandonedOrders) {
+    this->abandoned.erase(this->abandoned.begin());
   }
 }
 
-/// What it says of the order comes too late for whoever gave it; a look or a stop settles that.
-void CarriedEndpoints::TakeLate(const rpc::CarriedAnswer& answer) {
-  const auto found = this->given_up.find(answer.number);
-  if (found == this->given_up.end()) {
+/// Only updates the choice of carriers: the order's sender has timed out and finds the order's
+/// state by a status request or a stop.
+void CarriedEndpoints::OnLateAnswer(const rpc::CarriedAnswer& answer) {
+  const auto found = this->abandoned.find(answer.number);
+  if (found == this->abandoned.end()) {
     return;
   }
-  if (IsFromEndpoint(answer.outcome)) {
+  if (HasReachedEndpoint(answer.outcome)) {
     this->choice.OnAnsweredLate(found->second, this->context.Now());
   }
-  this->given_up.erase(found);
+  this->abandoned.erase(found);
 }
 
-asio::awaitable<rpc::CarriedAnswer> CarriedEndpoints::Await(std::string carrier,
-                                                            std::uint64_t number,
-                                                            Duration timeout) {
-  const auto entry = std::make_shared<Waiting>();
+asio::awaitable<rpc::CarriedAnswer> CarriedEndpoints::AwaitAnswer(std::string carrier,
+                                                                  std::uint64_t number,
+                                                                  Duration timeout) {
+  const auto entry = std::make_shared<PendingOrder>();
   entry->carrier = std::move(carrier);
   entry->wakeup = std::make_shared<http::Wakeup>(this->context.io.get_executor());
-  this->waiting.emplace(number, entry);
-  co_await entry->wakeup->WaitFor(timeout + kWayMargin);
-  this->waiting.erase(number);
+  this->pending.emplace(number, entry);
+  co_await entry->wakeup->WaitFor(timeout + kForwardingMargin);
+  this->pending.erase(number);
   if (entry->answer) {
     co_return *std::move(entry->answer);
   }
-  this->GiveUp(number, entry->carrier);
+  this->Abandon(number, entry->carrier);
   this->context.metrics.Count({"chervilspar_carried_unanswered_total", {}});
   rpc::CarriedAnswer none;
   none.number = number;
@@ -161,7 +162,7 @@
 
 asio::awaitable<HeldOutcome> CarriedEndpoints::AwaitReport(std::string carrier,
                                                            std::uint64_t number, Duration timeout) {
-  rpc::CarriedAnswer answer = co_await this->Await(std::move(carrier), number, timeout);
+  rpc::CarriedAnswer answer = co_await this->AwaitAnswer(std::move(carrier), number, timeout);
   HeldOutcome held;
   held.outcome = answer.outcome;
   held.report = std::move(answer.report);
@@ -172,9 +173,9 @@
 }
 
 template <typename Order>
-asio::awaitable<OrderOutcome> CarriedEndpoints::Give(Order order, Duration timeout,
-                                                     BatchList<Order> list,
-                                                     DirectCall<Order> direct_call) {
+asio::awaitable<OrderOutcome> CarriedEndpoints::SendOrder(Order order, Duration timeout,
+                                                          BatchList<Order> list,
+                                                          DirectCall<Order> direct_call) {
   std::optional<std::string> carrier = this->CarrierFor(order.endpoint);
   if (!carrier) {
     return (this->direct.get()->*direct_call)(std::move(order), timeout);
@@ -187,20 +188,20 @@
 asio::awaitable<OrderOutcome> CarriedEndpoints::AwaitOutcome(std::string carrier,
                                                              std::uint64_t number,
                                                              Duration timeout) {
-  const rpc::CarriedAnswer answer = co_await this->Await(std::move(carrier), number, timeout);
+  const rpc::CarriedAnswer answer = co_await this->AwaitAnswer(std::move(carrier), number, timeout);
   co_return answer.outcome;
 }
 
 asio::awaitable<OrderOutcome> CarriedEndpoints::Start(jobs::StartOrder order, Duration timeout) {
-  return this->Give(std::move(order), timeout, &rpc::OrderBatch::starts, &EndpointLink::Start);
+  return this->SendOrder(std::move(order), timeout, &rpc::OrderBatch::starts, &EndpointLink::Start);
 }
 
 asio::awaitable<OrderOutcome> CarriedEndpoints::Stop(jobs::StopOrder order, Duration timeout) {
-  return this->Give(std::move(order), timeout, &rpc::OrderBatch::stops, &EndpointLink::Stop);
+  return this->SendOrder(std::move(order), timeout, &rpc::OrderBatch::stops, &EndpointLink::Stop);
 }
 
 asio::awaitable<OrderOutcome> CarriedEndpoints::Pace(jobs::PaceOrder order, Duration timeout) {
-  return this->Give(std::move(order), timeout, &rpc::OrderBatch::paces, &EndpointLink::Pace);
+  return this->SendOrder(std::move(order), timeout, &rpc::OrderBatch::paces, &EndpointLink::Pace);
 }
 
 }  // namespace chervilspar::job_entry
--- a/src/job_entry/carried_endpoints.h
+++ b/src/job_entry/carried_endpoints.h
@@ -17,13 +17,13 @@
 
 namespace chervilspar::job_entry {
 
-/// The owner's way to the endpoints: through other entries where there are many endpoints, directly
-/// where there are few or no other entry is near.
+/// The owner's link to the endpoints. With many endpoints, orders are forwarded by other entries;
+/// with few, or when no other entry is near, they are sent directly.
 class CarriedEndpoints final : public EndpointLink, public CarrierRoster {
  public:
   CarriedEndpoints(const Context& context, std::unique_ptr<EndpointLink> direct);
 
-  /// From here on orders may go through other entries; their answers come to `own_address`.
+  /// Enables forwarding by other entries; they send their answers to `own_address`.
   void Open(rpc::PeerTransport& transport, std::string own_address);
   void OnAnswers(rpc::CarriedAnswers answers);
   EndpointLink& Direct() { return *this->direct; }
@@ -39,47 +39,48 @@
   std::size_t OrdersAtOnce(const std::string& endpoint) const override;
 
  private:
-  /// An order whose answer is waited for.
-  struct Waiting {
+  /// An order whose answer is awaited.
+  struct PendingOrder {
     std::string carrier;
     std::shared_ptr<http::Wakeup> wakeup;
     std::optional<rpc::CarriedAnswer> answer;
   };
 
-  /// Where a batch keeps orders of one kind, and how they are given without a carrier.
+  /// The list of a batch that holds orders of one kind, and the call that sends such an order
+  /// directly.
   template <typename Order>
   using BatchList = std::vector<rpc::Carried<Order>> rpc::OrderBatch::*;
   template <typename Order>
   using DirectCall = boost::asio::awaitable<jobs::OrderOutcome> (EndpointLink::*)(Order, Duration);
 
   template <typename Order>
-  boost::asio::awaitable<jobs::OrderOutcome> Give(Order order, Duration timeout,
-                                                  BatchList<Order> list,
-                                                  DirectCall<Order> direct_call);
+  boost::asio::awaitable<jobs::OrderOutcome> SendOrder(Order order, Duration timeout,
+                                                       BatchList<Order> list,
+                                                       DirectCall<Order> direct_call);
   std::optional<std::string> CarrierFor(const std::string& endpoint) const;
-  /// Waits for what comes of the order with this number; without an answer in time it may have been
-  /// carried out.
-  boost::asio::awaitable<rpc::CarriedAnswer> Await(std::string carrier, std::uint64_t number,
-                                                   Duration timeout);
+  /// Waits for the answer to the order with this number. The outcome is `kNoAnswer` when none comes
+  /// in time; the order may have been executed all the same.
+  boost::asio::awaitable<rpc::CarriedAnswer> AwaitAnswer(std::string carrier, std::uint64_t number,
+                                                         Duration timeout);
   boost::asio::awaitable<HeldOutcome> AwaitReport(std::string carrier, std::uint64_t number,
                                                   Duration timeout);
   boost::asio::awaitable<jobs::OrderOutcome> AwaitOutcome(std::string carrier, std::uint64_t number,
                                                           Duration timeout);
   rpc::OrderBatch& BatchFor(const std::string& carrier, Duration timeout);
-  void GiveUp(std::uint64_t number, const std::string& carrier);
-  void TakeLate(const rpc::CarriedAnswer& answer);
+  void Abandon(std::uint64_t number, const std::string& carrier);
+  void OnLateAnswer(const rpc::CarriedAnswer& answer);
 
   const Context context;
   std::unique_ptr<EndpointLink> direct;
   rpc::PeerTransport* transport = nullptr;
   std::string own_address;
   jobs::CarrierChoice choice;
-  /// Counts up from a random number.
+  /// Starts at a random number and counts up.
   std::uint64_t next_number;
-  std::map<std::uint64_t, std::shared_ptr<Waiting>> waiting;
-  /// The carriers of orders that were given up on, by number; the newest only.
-  std::map<std::uint64_t, std::string> given_up;
-  std::shared_ptr<AddressBatches<rpc::OrderBatch>> batches;
+  std::map<std::uint64_t, std::shared_ptr<PendingOrder>> pending;
+  /// The carriers of abandoned orders by order number, limited to the newest.
+  std::map<std::uint64_t, std::string> abandoned;
+  std::shared_ptr<AddressBatcher<rpc::OrderBatch>> batches;
 };
 
 }  // namespace chervilspar::job_entry
--- a/src/job_entry/job_log.cc
+++ b/src/job_entry/job_log.cc
@@ -8,28 +8,28 @@
 
 namespace {
 
-/// For a page of 500 jobs with their payloads, some 700 KB, on a link of 2 Mbit a second.
+/// Allows for a page of 500 jobs with payloads, about 700 KB, on a link of 2 Mbit/s.
 constexpr Duration kLoadTimeout = std::chrono::seconds(8);
 constexpr Duration kDropTimeout = std::chrono::seconds(2);
-/// News is answered at once; the wait only bounds how old the proof gets that there is none. Each
-/// read is priced, and there is one for each partition.
-constexpr Duration kWait = std::chrono::milliseconds(1500);
-/// In a peak, jobs that come one after the other are read together: each read costs the owner as
-/// much as placing several tasks.
-constexpr Duration kGather = std::chrono::milliseconds(30);
+/// The store answers as soon as there are records, so the wait only limits how old the proof of
+/// their absence gets. Each read is billed, and each partition needs its own.
+constexpr Duration kReadWait = std::chrono::milliseconds(1500);
+/// Batches jobs that arrive in quick succession: a read costs the owner as much as placing several
+/// tasks.
+constexpr Duration kBatchDelay = std::chrono::milliseconds(30);
 
 }  // namespace
 
-JobLog::JobLog(const Context& context, jobs::Scheduler& scheduler, std::function<void()> on_news)
+JobLog::JobLog(const Context& context, jobs::Scheduler& scheduler, std::function<void()> on_change)
     : context(context),
       scheduler(scheduler),
-      on_news(std::move(on_news)),
-      next(context.settings.job_partitions),
-      read(context.settings.job_partitions) {}
+      on_change(std::move(on_change)),
+      next_offsets(context.settings.job_partitions),
+      jobs_read(context.settings.job_partitions) {}
 
 std::vector<asio::awaitable<bool>> JobLog::LoadPartitions() {
   std::vector<asio::awaitable<bool>> parts;
-  for (std::uint32_t partition = 0; partition < this->read.size(); ++partition) {
+  for (std::uint32_t partition = 0; partition < this->jobs_read.size(); ++partition) {
     parts.push_back(this->LoadPartition(partition));
   }
   return parts;
@@ -41,28 +41,28 @@
   if (!newest) {
     co_return false;
   }
-  this->next[partition] = newest->next;
+  this->next_offsets[partition] = newest->next;
   for (const KeyedRecord& record : newest->records) {
-    this->Take(partition, record);
+    this->Apply(partition, record);
   }
   co_return true;
 }
 
 void JobLog::ApplyCancellations() {
-  this->keeps_cancellations_back = false;
-  for (const jobs::JobId& id : this->cancellations) {
+  this->are_cancellations_deferred = false;
+  for (const jobs::JobId& id : this->deferred_cancellations) {
     this->scheduler.CancelJob(id);
   }
-  this->cancellations.clear();
+  this->deferred_cancellations.clear();
 }
 
 void JobLog::Follow() {
-  for (std::uint32_t partition = 0; partition < this->read.size(); ++partition) {
+  for (std::uint32_t partition = 0; partition < this->jobs_read.size(); ++partition) {
     const RecordTail::Options options{.topic = Topic::kJobs,
                                       .partition = partition,
-                                      .wait = kWait,
-                                      .gather = kGather,
-                                      .from = this->next[partition]};
+                                      .wait = kReadWait,
+                                      .gather = kBatchDelay,
+                                      .from = this->next_offsets[partition]};
     this->partitions.push_back(std::make_unique<Partition>(*this, partition));
     this->tails.push_back(
         std::make_shared<RecordTail>(this->context, options, *this->partitions.back()));
@@ -83,25 +83,25 @@
 
 void JobLog::Partition::OnRecords(const std::vector<KeyedRecord>& records) {
   for (const KeyedRecord& record : records) {
-    this->log.Take(this->number, record);
+    this->log.Apply(this->number, record);
   }
-  this->log.on_news();
+  this->log.on_change();
 }
 
-void JobLog::Take(std::uint32_t partition, const KeyedRecord& record) {
+void JobLog::Apply(std::uint32_t partition, const KeyedRecord& record) {
   if (!record.value) {
-    return;  // dropped after its job has ended
+    return;  // deleted after its job had ended
   }
   const std::optional<jobs::JobId> id =
       jobs::ParseJobId(record.key.substr(0, record.key.find('/')));
   if (!id) {
-    LogEvent(telemetry::LogLevel::kError, "job_unreadable", "a record's key is not a job's");
+    LogEvent(telemetry::LogLevel::kError, "job_unreadable", "the record's key has no valid job id");
     return;
   }
-  this->read[partition].insert(*id);
+  this->jobs_read[partition].insert(*id);
   if (record.key == CancellationKey(*id)) {
-    if (this->keeps_cancellations_back) {
-      this->cancellations.push_back(*id);
+    if (this->are_cancellations_deferred) {
+      this->deferred_cancellations.push_back(*id);
     } else {
       this->scheduler.CancelJob(*id);
     }
@@ -117,8 +117,8 @@
 }
 
 asio::awaitable<bool> JobLog::Drop(const std::vector<jobs::JobId>& ids) {
-  for (std::uint32_t partition = 0; partition < this->read.size(); ++partition) {
-    // A repeat of a job's submission may stand in any partition.
+  for (std::uint32_t partition = 0; partition < this->jobs_read.size(); ++partition) {
+    // A repeated submission of a job may be in any partition.
     const bool is_dropped = co_await this->DropIn(partition, ids);
     if (!is_dropped) {
       co_return false;
@@ -128,10 +128,10 @@
 }
 
 asio::awaitable<bool> JobLog::DropEnded(const std::vector<jobs::JobId>& ids) {
-  for (std::uint32_t partition = 0; partition < this->read.size(); ++partition) {
+  for (std::uint32_t partition = 0; partition < this->jobs_read.size(); ++partition) {
     std::vector<jobs::JobId> here;
     for (const jobs::JobId& id : ids) {
-      if (this->read[partition].contains(id)) {
+      if (this->jobs_read[partition].contains(id)) {
         here.push_back(id);
       }
     }
@@ -158,7 +158,7 @@
     co_return false;
   }
   for (const jobs::JobId& id : ids) {
-    this->read[partition].erase(id);
+    this->jobs_read[partition].erase(id);
   }
   co_return true;
 }
--- a/src/job_entry/job_log.h
+++ b/src/job_entry/job_log.h
@@ -13,32 +13,34 @@
 
 namespace chervilspar::job_entry {
 
-/// Brings jobs and cancellations from the store to the scheduler.
+/// Reads submissions and cancellations of jobs from the store and passes them to the scheduler.
 ///
-/// What can go wrong: the submissions of all jobs of the last minutes stay in the store until
-/// nobody asks for them any more, a successor reads them all with their payloads, and a fleet that
-/// lost its owner starts nothing for seconds. So a submission is dropped once the job's end is
-/// stored; what callers still ask for stands in its progress.
+/// A new owner reads all stored submissions with their payloads before it starts anything, which
+/// takes seconds if those of the last minutes are all kept. A submission is therefore deleted once
+/// the job's end is stored; the job's progress record answers later queries of callers.
 class JobLog {
  public:
-  JobLog(const Context& context, jobs::Scheduler& scheduler, std::function<void()> on_news);
+  /// `on_change` is called after each batch of records that was read.
+  JobLog(const Context& context, jobs::Scheduler& scheduler, std::function<void()> on_change);
 
-  /// Each reads one partition; false when the store doesn't answer. Cancellations are kept back
-  /// until `ApplyCancellations`, so that progress can be restored in between.
+  /// One coroutine per partition that reads it from the beginning; false when the store doesn't
+  /// answer. Cancellations are deferred until `ApplyCancellations`, so that progress can be
+  /// restored in between.
   std::vector<boost::asio::awaitable<bool>> LoadPartitions();
   void ApplyCancellations();
+  /// Follows all partitions from where loading them ended.
   void Follow();
   void Stop();
-  /// True when every job stored before the last `limit` is known here.
+  /// True when all jobs are known that were stored more than `limit` ago.
   bool IsFresh(Duration limit) const;
-  /// Drops the records of jobs that nobody asks for any more; false when it has to be tried again.
+  /// Deletes the records of jobs that callers no longer query; false when it has to be retried.
   boost::asio::awaitable<bool> Drop(const std::vector<jobs::JobId>& ids);
-  /// Drops what is stored of jobs whose end is stored, where it was read; false when it has to be
-  /// tried again.
+  /// Deletes the records of jobs whose end is stored, in the partitions where they were read; false
+  /// when it has to be retried.
   boost::asio::awaitable<bool> DropEnded(const std::vector<jobs::JobId>& ids);
 
  private:
-  /// Hears of one partition.
+  /// Receives the records of one partition.
   class Partition final : public RecordListener {
    public:
     Partition(JobLog& log, std::uint32_t number) : log(log), number(number) {}
@@ -50,17 +52,19 @@
   };
 
   boost::asio::awaitable<bool> LoadPartition(std::uint32_t partition);
-  void Take(std::uint32_t partition, const KeyedRecord& record);
+  void Apply(std::uint32_t partition, const KeyedRecord& record);
   boost::asio::awaitable<bool> DropIn(std::uint32_t partition, std::vector<jobs::JobId> ids);
 
   const Context context;
   jobs::Scheduler& scheduler;
-  const std::function<void()> on_news;
-  bool keeps_cancellations_back = true;
-  std::vector<jobs::JobId> cancellations;
-  std::vector<std::uint64_t> next;
-  /// In which partitions something of a job was read; a repeat may stand in another one.
-  std::vector<std::unordered_set<jobs::JobId>> read;
+  const std::function<void()> on_change;
+  bool are_cancellations_deferred = true;
+  std::vector<jobs::JobId> deferred_cancellations;
+  /// The offset to read next, by partition.
+  std::vector<std::uint64_t> next_offsets;
+  /// The jobs of which records were read, by partition; a repeated submission may be in a second
+  /// one.
+  std::vector<std::unordered_set<jobs::JobId>> jobs_read;
   std::vector<std::unique_ptr<Partition>> partitions;
   std::vector<std::shared_ptr<RecordTail>> tails;
 };
--- a/src/job_entry/job_writer.h
+++ b/src/job_entry/job_writer.h
@@ -10,47 +10,48 @@
 
 namespace chervilspar::job_entry {
 
-/// The partitions of jobs: an append takes 4 ms of its partition, so four take a thousand a second.
-
-/// The key of a job's submission, and of its cancellation.
+/// The keys of the records of a job's submission and cancellation.
 std::string SubmissionKey(const jobs::JobId& id);
 std::string CancellationKey(const jobs::JobId& id);
 
-/// Writes submissions and cancellations of one entry; those that wait share one append.
+/// Writes submissions and cancellations of one entry; waiting records share one append. An append
+/// occupies its partition for 4 ms, so the four partitions of jobs take a thousand appends a
+/// second.
 ///
-/// What can go wrong: the store is slow, a partition takes some five appends a second, and the many
-/// entries that write to it wait for seconds or are refused. An entry that sees this has its
-/// records gathered by another, until that one's answers are quick again.
+/// In a slow store, a partition takes some five appends a second, and the many entries that write
+/// to it wait for seconds or are refused. An entry that observes this sends its records to a
+/// gathering entry, which writes those of many entries in few appends, until that entry's answers
+/// are fast again.
 class JobWriter {
  public:
-  /// `relay` writes what this entry can't; null when there is no other entry.
+  /// `relay` writes the records that this entry can't write; null when there is no other entry.
   explicit JobWriter(const Context& context, RecordRelay* relay = nullptr);
 
   boost::asio::awaitable<WriteVerdict> Write(KeyedRecord record);
 
  private:
   boost::asio::awaitable<WriteVerdict> Append(std::vector<KeyedRecord> records);
-  boost::asio::awaitable<WriteVerdict> AppendHere(std::vector<KeyedRecord> records,
-                                                  Duration timeout);
-  /// What another entry made of the records.
-  boost::asio::awaitable<WriteVerdict> AppendElsewhere(const std::vector<KeyedRecord>& records);
-  /// What the entry that gathers made of the records.
+  boost::asio::awaitable<WriteVerdict> AppendLocally(std::vector<KeyedRecord> records,
+                                                     Duration timeout);
+  /// Has another entry write the records, unless relaying is paused.
+  boost::asio::awaitable<WriteVerdict> AppendRelayed(const std::vector<KeyedRecord>& records);
+  /// Has the gathering entry write the records, if this entry uses it at present.
   boost::asio::awaitable<WriteVerdict> AppendGathered(const std::vector<KeyedRecord>& records);
-  /// Tells when the store becomes slow, and usual again.
-  void NoteTime(Duration taken);
-  void SetGathered(bool is_gathered, const char* why);
-  /// There are others, and none of them has failed a moment ago.
-  bool MayAskOthers() const;
+  /// Logs when the store becomes slow, and when it is back to normal.
+  void TrackAppendTime(Duration taken);
+  void SetGathered(bool is_gathered, const char* reason);
+  /// Whether there are other entries and relaying is not paused.
+  bool MayRelay() const;
 
   const Context context;
   RecordRelay* const relay;
   const std::uint32_t partition;
   const std::shared_ptr<RecordQueue> queue;
   bool is_slow = false;
-  /// Another entry gathers the records of this one.
+  /// Records of this entry go to the gathering entry first.
   bool is_gathered = false;
-  /// No other entry is asked before this, as none could write.
-  TimePoint relay_again{};
+  /// Relaying is paused until then, since no other entry could write.
+  TimePoint next_relay_time{};
 };
 
 }  // namespace chervilspar::job_entry
--- a/src/job_entry/order_carrier.cc
+++ b/src/job_entry/order_carrier.cc
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// Answers that come within this time go back together.
-constexpr Duration kGather = std::chrono::milliseconds(8);
-/// Lanes of endpoints that were carried to; all are dropped when there are more, as endpoints come
-/// and go under new names.
-constexpr std::size_t kMostLanes = 4096;
+/// Answers within this time go back in one batch.
+constexpr Duration kBatchDelay = std::chrono::milliseconds(8);
+/// The queues kept per endpoint. All are dropped when there are more, since endpoints come and go
+/// under new names.
+constexpr std::size_t kMaxQueues = 4096;
 
 }  // namespace
 
@@ -21,29 +21,31 @@
                            rpc::PeerTransport& transport)
     : context(context),
       link(link),
-      answers(std::make_shared<AddressBatches<rpc::CarriedAnswers>>(
-          context, kGather, [&transport](const std::string& address, rpc::CarriedAnswers batch) {
+      answers(std::make_shared<AddressBatcher<rpc::CarriedAnswers>>(
+          context, kBatchDelay,
+          [&transport](const std::string& address, rpc::CarriedAnswers batch) {
             transport.Send(address, rpc::Encode(std::move(batch)));
           })) {}
 
-WorkQueue& OrderCarrier::LaneOf(const std::string& endpoint) {
-  if (this->lanes.size() > kMostLanes) {
-    this->lanes.clear();
+WorkQueue& OrderCarrier::QueueFor(const std::string& endpoint) {
+  if (this->queues.size() > kMaxQueues) {
+    this->queues.clear();
   }
-  std::shared_ptr<WorkQueue>& lane = this->lanes[endpoint];
-  if (lane == nullptr) {
-    lane = std::make_shared<WorkQueue>(this->context, kOrdersAtOneEndpoint);
+  std::shared_ptr<WorkQueue>& queue = this->queues[endpoint];
+  if (queue == nullptr) {
+    queue = std::make_shared<WorkQueue>(this->context, kOrdersAtOneEndpoint);
   }
-  return *lane;
+  return *queue;
 }
 
-template <typename Order, typename Carry>
-void OrderCarrier::Queue(const rpc::Carried<Order>& carried, const Origin& origin, Carry carry) {
-  this->LaneOf(carried.order.endpoint)
-      .Add([this, carried, origin, carry]() -> asio::awaitable<void> {
+template <typename Order, typename Execute>
+void OrderCarrier::Enqueue(const rpc::Carried<Order>& carried, const Origin& origin,
+                           Execute execute) {
+  this->QueueFor(carried.order.endpoint)
+      .Add([this, carried, origin, execute]() -> asio::awaitable<void> {
         OrderOutcome outcome = OrderOutcome::kTooLate;
         if (this->context.Now() < origin.expires) {
-          outcome = co_await carry(carried.order, origin.timeout);
+          outcome = co_await execute(carried.order, origin.timeout);
         }
         this->Answer(origin, {carried.number, outcome, std::nullopt});
       });
@@ -52,17 +54,17 @@
 void OrderCarrier::OnBatch(const rpc::OrderBatch& batch) {
   const Origin origin{batch.reply_address, batch.timeout, this->context.Now() + batch.timeout};
   for (const auto& stop : batch.stops) {
-    this->Queue(stop, origin, [this](const jobs::StopOrder& order, Duration timeout) {
+    this->Enqueue(stop, origin, [this](const jobs::StopOrder& order, Duration timeout) {
       return this->link.Stop(order, timeout);
     });
   }
   for (const auto& start : batch.starts) {
-    this->Queue(start, origin, [this](const jobs::StartOrder& order, Duration timeout) {
+    this->Enqueue(start, origin, [this](const jobs::StartOrder& order, Duration timeout) {
       return this->Start(order, timeout);
     });
   }
   for (const auto& pace : batch.paces) {
-    this->Queue(pace, origin, [this](const jobs::PaceOrder& order, Duration timeout) {
+    this->Enqueue(pace, origin, [this](const jobs::PaceOrder& order, Duration timeout) {
       return this->link.Pace(order, timeout);
     });
   }
--- a/src/job_entry/order_carrier.h
+++ b/src/job_entry/order_carrier.h
@@ -14,41 +14,42 @@
 
 namespace chervilspar::job_entry {
 
-/// Carries out orders to endpoints for the entry that schedules, and tells it what came of them.
+/// Forwards orders of the owner to endpoints and reports their outcomes to it.
 ///
-/// Decides nothing: tokens, run numbers and times of leases stand in the orders, and the endpoints
-/// compare them. An order that is carried out late here is one that its endpoint carried out late.
+/// Makes no decisions: the orders contain tokens, run numbers and lease times, and the endpoints
+/// check these. A delay here is therefore as safe as a delay at the endpoint.
 class OrderCarrier {
  public:
-  /// `link`: the way to the endpoints; `transport` takes the answers.
+  /// `link` sends the orders to the endpoints, `transport` sends back the answers. Both must
+  /// outlive this object.
   OrderCarrier(const Context& context, EndpointLink& link, rpc::PeerTransport& transport);
 
-  /// Whether tasks may be started in this entry's zone now. An entry that was frozen finds orders
-  /// that were right when they were given.
+  /// Sets the check whether tasks may be started in this entry's zone now. A process that resumes
+  /// after being suspended may find orders that are no longer allowed.
   void SetMayStart(std::function<bool()> may_start) { this->may_start = std::move(may_start); }
 
   void OnBatch(const rpc::OrderBatch& batch);
 
  private:
-  /// Where an answer goes, and until when its order is worth carrying out.
+  /// Where the answer goes, and when the order expires.
   struct Origin {
     std::string reply_address;
     Duration timeout{};
     TimePoint expires{};
   };
 
-  template <typename Order, typename Carry>
-  void Queue(const rpc::Carried<Order>& carried, const Origin& origin, Carry carry);
+  template <typename Order, typename Execute>
+  void Enqueue(const rpc::Carried<Order>& carried, const Origin& origin, Execute execute);
   boost::asio::awaitable<jobs::OrderOutcome> Start(jobs::StartOrder order, Duration timeout);
   boost::asio::awaitable<void> Hold(rpc::Carried<jobs::HoldOrder> carried, Origin origin);
   void Answer(const Origin& origin, rpc::CarriedAnswer answer);
-  WorkQueue& LaneOf(const std::string& endpoint);
+  WorkQueue& QueueFor(const std::string& endpoint);
 
   const Context context;
   EndpointLink& link;
-  std::shared_ptr<AddressBatches<rpc::CarriedAnswers>> answers;
+  std::shared_ptr<AddressBatcher<rpc::CarriedAnswers>> answers;
   std::function<bool()> may_start;
-  std::map<std::string, std::shared_ptr<WorkQueue>> lanes;
+  std::map<std::string, std::shared_ptr<WorkQueue>> queues;
 };
 
 }  // namespace chervilspar::job_entry
--- a/src/job_entry/order_exchange.cc
+++ b/src/job_entry/order_exchange.cc
@@ -4,13 +4,13 @@
 
 namespace {
 
-/// A frame holds what was decided within a few milliseconds: some hundred starts with payloads of
-/// up to 4,000 bytes.
-constexpr std::size_t kLongestFrame = std::size_t{4} * 1024 * 1024;
-constexpr std::size_t kLongestQueue = std::size_t{4} * 1024 * 1024;
-/// Every entry of a large fleet may answer one owner.
-constexpr std::size_t kMostConnections = 512;
-/// An order is given up on after about as long.
+/// A frame holds the orders of a few milliseconds: some hundred starts with payloads of up to 4,000
+/// bytes.
+constexpr std::size_t kMaxFrameBytes = std::size_t{4} * 1024 * 1024;
+constexpr std::size_t kMaxQueueBytes = std::size_t{4} * 1024 * 1024;
+/// All entries of a large fleet may connect to one owner.
+constexpr std::size_t kMaxConnections = 512;
+/// Close to the timeout of an order.
 constexpr Duration kWriteTimeout = std::chrono::milliseconds(700);
 
 }  // namespace
@@ -20,9 +20,9 @@
     return Done{};
   }
   rpc::TransportLimits limits;
-  limits.frame_bytes = kLongestFrame;
-  limits.queue_bytes = kLongestQueue;
-  limits.connections = kMostConnections;
+  limits.frame_bytes = kMaxFrameBytes;
+  limits.queue_bytes = kMaxQueueBytes;
+  limits.connections = kMaxConnections;
   limits.write_timeout = kWriteTimeout;
   const std::string address = ToString(*this->context.settings.carrier);
   auto opened = rpc::OpenPeerTransport(this->context.io, address, limits,
--- a/src/job_entry/order_exchange.h
+++ b/src/job_entry/order_exchange.h
@@ -12,25 +12,27 @@
 
 namespace chervilspar::job_entry {
 
-/// Takes the orders that other entries want carried, and the answers to what others carry for this
-/// one.
+/// The connection to other entries: receives orders that this entry forwards for the owner, and the
+/// answers to orders that others forward for this entry.
 class OrderExchange {
  public:
   /// `endpoints` must outlive this object.
   OrderExchange(const Context& context, CarriedEndpoints& endpoints)
       : context(context), endpoints(endpoints) {}
 
-  /// Listens at the carrier's address; does nothing where the settings name none.
+  /// Listens on the `carrier` address of the settings and registers the roster in `links`; does
+  /// nothing if no address is set. Fails if the address can't be opened.
   Status Open(Links& links);
-  /// Whether tasks may be started in this entry's zone now; asked for each start that it carries.
+  /// Sets the check whether tasks may be started in this entry's zone; it is evaluated for each
+  /// forwarded start.
   void SetMayStart(std::function<bool()> may_start);
-  /// Bytes of carried orders and their answers that were sent and received so far.
+  /// Bytes of forwarded orders and their answers since the process start.
   struct Bytes {
     std::size_t sent = 0;
     std::size_t received = 0;
   };
   Bytes CarriedBytes() const;
-  /// Takes and sends nothing any more.
+  /// Stops sending and receiving.
   void Close();
 
  private:
--- a/src/job_entry/order_sender.cc
+++ b/src/job_entry/order_sender.cc
@@ -10,24 +10,25 @@
 
 namespace {
 
-/// An endpoint answers within a few milliseconds. A longer wait would only delay the second try,
-/// which settles what became of the first.
+/// An endpoint answers within a few milliseconds. A longer timeout would only delay the second
+/// attempt, which finds out what became of the first.
 constexpr Duration kOrderTimeout = std::chrono::milliseconds(400);
-/// On top of the time that a renewal may wait at the endpoint.
-constexpr Duration kHoldMargin = std::chrono::milliseconds(500);
-/// Between two renewals that had nothing to wait for, or failed.
-constexpr Duration kHoldPause = std::chrono::milliseconds(300);
-/// An endpoint without work is looked at again when it gets some; this only bounds a missed
+/// Added to the time that a lease renewal may wait at the endpoint.
+constexpr Duration kRenewalMargin = std::chrono::milliseconds(500);
+/// The pause after a renewal that failed or that did not wait at the endpoint.
+constexpr Duration kRenewalPause = std::chrono::milliseconds(300);
+/// An endpoint without work is woken up when it gets some; this limits the delay after a missed
 /// wake-up.
-constexpr Duration kIdlePause = std::chrono::seconds(1);
-/// Between the beginnings of two renewals. Tasks of one step end close to each other, and each
-/// renewal is priced; an end is heard 20 ms later on average.
-constexpr Duration kHoldSpacing = std::chrono::milliseconds(60);
-/// The same for each endpoint that is at work, when that is longer: together they then take no more
-/// than 4,000 renewals a second from the one process that decides.
-constexpr Duration kHoldSpacingPerEndpoint = std::chrono::microseconds(250);
-/// Ends wait for their record before they are confirmed; usually a few milliseconds.
-constexpr Duration kStoreWait = std::chrono::milliseconds(250);
+constexpr Duration kIdleRecheckInterval = std::chrono::seconds(1);
+/// The minimum interval between the starts of two renewals. Tasks of one step end at about the same
+/// time, and each renewal is billed; the interval delays the report of an end by 20 ms on average.
+constexpr Duration kMinRenewalInterval = std::chrono::milliseconds(60);
+/// The same for each endpoint with active leases, if that is longer in total: it limits the load of
+/// the owner's process to 4,000 renewals a second.
+constexpr Duration kMinRenewalIntervalPerEndpoint = std::chrono::microseconds(250);
+/// The longest wait for the records of ended runs, which must be stored before the ends are
+/// confirmed. Storing usually takes a few milliseconds.
+constexpr Duration kMaxStoreWait = std::chrono::milliseconds(250);
 
 }  // namespace
 
@@ -35,15 +36,15 @@
   Channel(OrderSender& sender, std::string endpoint)
       : context(sender.context),
         scheduler(sender.scheduler),
-        on_news(sender.on_news),
+        on_change(sender.on_change),
         may_start(sender.may_start),
         endpoint(std::move(endpoint)),
-        held_count(sender.held_count),
+        renewing_count(sender.renewing_count),
         wakeup(std::make_shared<http::Wakeup>(sender.context.io.get_executor())) {}
 
   void StartSenders() {
-    const std::size_t most = this->context.links.endpoints->OrdersAtOnce(this->endpoint);
-    while (this->senders < std::min(most, this->queue.size())) {
+    const std::size_t max_senders = this->context.links.endpoints->OrdersAtOnce(this->endpoint);
+    while (this->senders < std::min(max_senders, this->queue.size())) {
       ++this->senders;
       Spawn(this->context, this->SendLoop(this->shared_from_this()));
     }
@@ -53,16 +54,16 @@
     while (!this->is_stopped && !this->queue.empty()) {
       const Order order = std::move(this->queue.front());
       this->queue.pop_front();
-      co_await std::visit([this](const auto& one) { return this->Carry(one); }, order);
+      co_await std::visit([this](const auto& one) { return this->Execute(one); }, order);
       if (!this->is_stopped) {
-        this->on_news();
+        this->on_change();
       }
     }
     --this->senders;
   }
 
-  /// The orders live in the sending loop until they are carried out.
-  asio::awaitable<void> Carry(const jobs::StartOrder& order) {
+  /// `order` must live until the coroutine ends; the sending loop keeps it.
+  asio::awaitable<void> Execute(const jobs::StartOrder& order) {
     OrderOutcome outcome = OrderOutcome::kRefused;
     if (this->may_start(order.endpoint)) {
       outcome = co_await this->context.links.endpoints->Start(order, kOrderTimeout);
@@ -75,7 +76,7 @@
     }
   }
 
-  asio::awaitable<void> Carry(const jobs::StopOrder& order) {
+  asio::awaitable<void> Execute(const jobs::StopOrder& order) {
     const OrderOutcome outcome = co_await this->context.links.endpoints->Stop(order, kOrderTimeout);
     this->context.metrics.Count(
         {"chervilspar_stops_total", {{"outcome", jobs::ToString(outcome)}}});
@@ -84,7 +85,7 @@
     }
   }
 
-  asio::awaitable<void> Carry(const jobs::PaceOrder& order) {
+  asio::awaitable<void> Execute(const jobs::PaceOrder& order) {
     const OrderOutcome outcome = co_await this->context.links.endpoints->Pace(order, kOrderTimeout);
     this->context.metrics.Count(
         {"chervilspar_paces_total", {{"outcome", jobs::ToString(outcome)}}});
@@ -93,46 +94,47 @@
     }
   }
 
-  asio::awaitable<void> HoldLoop([[maybe_unused]] std::shared_ptr<Channel> self) {
+  asio::awaitable<void> RenewalLoop([[maybe_unused]] std::shared_ptr<Channel> self) {
     while (!this->is_stopped) {
       const jobs::HoldPlan plan = this->scheduler.PlanHold(this->endpoint, this->context.Now());
-      this->CountHeld(plan.is_needed);
+      this->SetRenewing(plan.is_needed);
       if (!plan.is_needed || plan.order.address.ip.empty()) {
-        co_await this->wakeup->WaitFor(kIdlePause);
+        co_await this->wakeup->WaitFor(kIdleRecheckInterval);
         continue;
       }
       const TimePoint begin = this->context.Now();
-      const bool is_held = co_await this->Hold(plan.order);
+      const bool is_renewed = co_await this->Renew(plan.order);
       if (this->is_stopped) {
         break;
       }
-      this->on_news();
+      this->on_change();
       const bool has_waited = plan.order.wait > Duration::zero();
-      if (this->is_store_awaited) {
-        co_await this->wakeup->WaitFor(kStoreWait);
-        this->is_store_awaited = false;
-      } else if (!is_held || !has_waited) {
-        co_await this->wakeup->WaitFor(kHoldPause);
+      if (this->awaits_stored_ends) {
+        co_await this->wakeup->WaitFor(kMaxStoreWait);
+        this->awaits_stored_ends = false;
+      } else if (!is_renewed || !has_waited) {
+        co_await this->wakeup->WaitFor(kRenewalPause);
       }
-      const Duration passed = this->context.Now() - begin;
-      const Duration spacing =
-          std::max<Duration>(kHoldSpacing, kHoldSpacingPerEndpoint * *this->held_count);
-      if (passed < spacing) {
-        co_await Pause(this->context, spacing - passed);
+      const Duration elapsed = this->context.Now() - begin;
+      const Duration interval = std::max<Duration>(
+          kMinRenewalInterval, kMinRenewalIntervalPerEndpoint * *this->renewing_count);
+      if (elapsed < interval) {
+        co_await Pause(this->context, interval - elapsed);
       }
     }
-    this->CountHeld(false);
+    this->SetRenewing(false);
   }
 
-  void CountHeld(bool is_needed) {
-    *this->held_count += (is_needed ? 1 : 0) - (this->is_held ? 1 : 0);
-    this->is_held = is_needed;
+  void SetRenewing(bool is_needed) {
+    *this->renewing_count += (is_needed ? 1 : 0) - (this->is_renewing ? 1 : 0);
+    this->is_renewing = is_needed;
   }
 
-  asio::awaitable<bool> Hold(const jobs::HoldOrder& order) {
+  /// Renews the leases at the endpoint; false when this failed.
+  asio::awaitable<bool> Renew(const jobs::HoldOrder& order) {
     const TimePoint sent = this->context.Now();
     const HeldOutcome held =
-        co_await this->context.links.endpoints->Hold(order, order.wait + kHoldMargin);
+        co_await this->context.links.endpoints->Hold(order, order.wait + kRenewalMargin);
     if (this->is_stopped) {
       co_return false;
     }
@@ -142,34 +144,35 @@
       this->scheduler.OnHoldFailed(this->endpoint, held.outcome, this->context.Now());
       co_return false;
     }
-    this->is_store_awaited = !held.report->ended.empty();
+    this->awaits_stored_ends = !held.report->ended.empty();
     this->scheduler.OnHeld(order, *held.report, sent, this->context.Now());
     co_return true;
   }
 
   const Context context;
   jobs::Scheduler& scheduler;
-  const std::function<void()> on_news;
+  const std::function<void()> on_change;
   const std::function<bool(const std::string&)> may_start;
   const std::string endpoint;
-  const std::shared_ptr<int> held_count;
+  const std::shared_ptr<int> renewing_count;
   std::shared_ptr<http::Wakeup> wakeup;
   std::deque<Order> queue;
   std::size_t senders = 0;
   bool is_stopped = false;
-  bool is_holding = false;
-  /// Counted among the endpoints at work.
-  bool is_held = false;
-  /// Ends were told whose record isn't stored yet; the endpoint would tell them again at once.
-  bool is_store_awaited = false;
+  bool has_renewal_loop = false;
+  /// This endpoint is included in `renewing_count`.
+  bool is_renewing = false;
+  /// The endpoint has reported ends whose records aren't stored yet; it would report them again at
+  /// once.
+  bool awaits_stored_ends = false;
 };
 
 OrderSender::OrderSender(const Context& context, jobs::Scheduler& scheduler,
-                         std::function<void()> on_news,
+                         std::function<void()> on_change,
                          std::function<bool(const std::string&)> may_start)
     : context(context),
       scheduler(scheduler),
-      on_news(std::move(on_news)),
+      on_change(std::move(on_change)),
       may_start(std::move(may_start)) {}
 
 OrderSender::~OrderSender() { this->Stop(); }
@@ -192,7 +195,7 @@
 }
 
 void OrderSender::Send(jobs::Orders orders) {
-  // Stops first: what they free may be what the starts need.
+  // Stops first: they may free the capacity that the starts need.
   this->PushAll(orders.stops);
   this->PushAll(orders.starts);
   this->PushAll(orders.paces);
@@ -202,15 +205,15 @@
   this->DropExcept(endpoints);
   for (const std::string& id : endpoints) {
     Channel& channel = this->ChannelOf(id);
-    if (!channel.is_holding) {
-      channel.is_holding = true;
-      Spawn(this->context, channel.HoldLoop(channel.shared_from_this()));
+    if (!channel.has_renewal_loop) {
+      channel.has_renewal_loop = true;
+      Spawn(this->context, channel.RenewalLoop(channel.shared_from_this()));
     }
   }
 }
 
-/// What can go wrong: each VM that moves registers a new endpoint, and the channels of thousands
-/// that are gone wake up every second.
+/// Each VM that moves registers a new endpoint. Without this, the channels of thousands of former
+/// endpoints would wake up every second.
 void OrderSender::DropExcept(const std::vector<std::string>& endpoints) {
   auto known = endpoints.begin();
   std::erase_if(this->channels, [&](const auto& entry) {
@@ -228,7 +231,7 @@
 
 void OrderSender::OnStored() {
   for (const auto& [id, channel] : this->channels) {
-    if (channel->is_store_awaited) {
+    if (channel->awaits_stored_ends) {
       channel->wakeup->Notify();
     }
   }
--- a/src/job_entry/record_queue.h
+++ b/src/job_entry/record_queue.h
@@ -13,10 +13,11 @@
 
 namespace chervilspar::job_entry {
 
-/// Records that wait to be appended: one append at a time, and what waits shares the next.
+/// Queues records to be appended. Appends run one at a time, and the records that wait share the
+/// next one.
 ///
-/// A partition of the store carries out one append after the other, however small. With an append
-/// for each record, a slow store refuses most of them.
+/// A partition of the store executes appends one after the other, however small they are. With an
+/// append for each record, a slow store would refuse most of them.
 class RecordQueue : public std::enable_shared_from_this<RecordQueue> {
  public:
   using Append =
@@ -24,10 +25,11 @@
 
   RecordQueue(const Context& context, Append append);
 
+  /// Returns the verdict of the append that contained the records.
   boost::asio::awaitable<WriteVerdict> Write(std::vector<KeyedRecord> records);
 
  private:
-  struct Waiting {
+  struct PendingWrite {
     std::vector<KeyedRecord> records;
     std::shared_ptr<http::Wakeup> wakeup;
     std::optional<WriteVerdict> verdict;
@@ -37,7 +39,7 @@
 
   const Context context;
   const Append append;
-  std::deque<std::shared_ptr<Waiting>> waiting;
+  std::deque<std::shared_ptr<PendingWrite>> waiting;
   bool is_running = false;
 };
 
--- a/src/job_entry/record_relay.cc
+++ b/src/job_entry/record_relay.cc
@@ -14,15 +14,16 @@
 namespace {
 
 constexpr std::string_view kRecordsPath = "/v1/records";
-/// For another entry's answer. It takes some 6 ms; longer than this, the store is slow there as
-/// well, and a caller's time is better spent on own tries.
+/// The timeout for another entry's answer, which takes some 6 ms. If it takes longer than this, the
+/// store is slow there as well, and the caller's time is better spent on attempts of this entry.
 constexpr Duration kAskTimeout = std::chrono::milliseconds(450);
-/// The same for the entry that gathers: an append that is under way, and the one that follows.
+/// The same for the gathering entry: allows for an append in progress and the next one.
 constexpr Duration kGatherTimeout = std::chrono::milliseconds(1200);
-/// For one append for others, behind those of entries that write themselves.
+/// The timeout of an append for other entries, which may queue behind appends of entries that write
+/// their own records.
 constexpr Duration kAppendTimeout = std::chrono::milliseconds(900);
-/// Peers asked for one append, so that a caller hears within a second when nobody can write.
-constexpr std::size_t kMostPeers = 2;
+/// Peers asked per append. A caller gets an answer within a second when no entry can write.
+constexpr std::size_t kMaxPeersAsked = 2;
 
 struct RelayedRecords {
   std::uint32_t partition = 0;
@@ -37,7 +38,7 @@
   return json::serialize(json::object{{"partition", partition}, {"records", std::move(rows)}});
 }
 
-/// A row is a key and a value.
+/// Decodes a pair of key and value; nothing if the row is malformed.
 std::optional<KeyedRecord> DecodeRow(const json::value& row) {
   const bool is_pair = row.is_array() && row.as_array().size() == 2 &&
                        row.as_array()[0].is_string() && row.as_array()[1].is_string();
@@ -49,30 +50,30 @@
 }
 
 Result<RelayedRecords> DecodeRecords(const std::string& body, std::uint32_t partitions) {
-  const auto wrong = [](const char* field, const char* message) {
+  const auto invalid = [](const char* field, const char* message) {
     return Reason{ErrorCode::kInvalidArgument, field, message};
   };
   boost::system::error_code error;
   const json::value value = json::parse(body, error);
   if (error || !value.is_object()) {
-    return wrong("", "the body should be a JSON object");
+    return invalid("", "the body must be a JSON object");
   }
   const json::value* partition = value.as_object().if_contains("partition");
   const json::value* rows = value.as_object().if_contains("records");
   const bool is_partition = partition != nullptr && partition->is_int64() &&
                             partition->as_int64() >= 0 && partition->as_int64() < partitions;
   if (!is_partition) {
-    return wrong("partition", "should be the number of a partition of jobs");
+    return invalid("partition", "must be the number of a job partition");
   }
   if (rows == nullptr || !rows->is_array() || rows->as_array().empty()) {
-    return wrong("records", "should be a list of pairs of key and value");
+    return invalid("records", "must be a non-empty list of pairs of key and value");
   }
   RelayedRecords decoded;
   decoded.partition = static_cast<std::uint32_t>(partition->as_int64());
   for (const json::value& row : rows->as_array()) {
     std::optional<KeyedRecord> record = DecodeRow(row);
     if (!record) {
-      return wrong("records", "should be a list of pairs of key and value");
+      return invalid("records", "must be a non-empty list of pairs of key and value");
     }
     decoded.records.push_back(*std::move(record));
   }
@@ -86,7 +87,7 @@
       Topic::kJobs, partition, std::move(records), std::nullopt, kAppendTimeout);
   const bool is_stored = outcome.kind == AppendOutcome::Kind::kStored;
   LogEvent(telemetry::LogLevel::kInfo, "records_relayed",
-           is_stored ? "stored for other entries" : "could not be stored here either",
+           is_stored ? "stored for other entries" : "could not be stored for other entries",
            {{"records", std::to_string(count)}});
   if (is_stored) {
     co_return WriteVerdict::kStored;
@@ -104,7 +105,7 @@
   std::vector<SocketAddress> peers;
   const auto add = [&](const SocketAddress& address) {
     const bool is_known = std::find(peers.begin(), peers.end(), address) != peers.end();
-    if (!is_known && !(address == this->context.settings.peers) && peers.size() < kMostPeers) {
+    if (!is_known && !(address == this->context.settings.peers) && peers.size() < kMaxPeersAsked) {
       peers.push_back(address);
     }
   };
@@ -212,11 +213,12 @@
     case WriteVerdict::kStored:
       co_return http::Response{};
     case WriteVerdict::kNotStored:
-      co_return http::ErrorResponse(503, "not_stored", "The store took nothing.");
+      co_return http::ErrorResponse(503, "not_stored", "The store did not store the records.");
     case WriteVerdict::kMayBeStored:
       break;
   }
-  co_return http::ErrorResponse(504, "may_be_stored", "The store has not answered.");
+  co_return http::ErrorResponse(504, "may_be_stored",
+                                "The store did not answer; the records may be stored.");
 }
 
 }  // namespace chervilspar::job_entry
--- a/src/job_entry/record_relay.h
+++ b/src/job_entry/record_relay.h
@@ -16,7 +16,7 @@
 
 class RecordQueue;
 
-/// What may be told to the caller whose record was to be stored.
+/// What is known about whether a record was stored.
 enum class WriteVerdict {
   kStored,
   /// Nothing was written, and nothing will be.
@@ -25,22 +25,24 @@
   kMayBeStored,
 };
 
-/// Has records of jobs written by another entry.
+/// Asks another entry to write records of jobs.
 class RecordRelay {
  public:
   virtual ~RecordRelay() = default;
 
-  /// For an entry that can't write itself. `kNotStored` also when no other entry could be reached.
+  /// Used when this entry's own append failed. Also `kNotStored` when no other entry could be
+  /// reached.
   virtual boost::asio::awaitable<WriteVerdict> Append(std::uint32_t partition,
                                                       std::vector<KeyedRecord> records) = 0;
-  /// While the store takes few appends: has the entry write that does so for all others that write
-  /// to this partition, in few large appends.
+  /// Used while the store takes few appends. Sends the records to the gathering entry of the
+  /// partition, which writes those of all entries in few large appends.
   virtual boost::asio::awaitable<WriteVerdict> Gather(std::uint32_t partition,
                                                       std::vector<KeyedRecord> records) = 0;
 };
 
-/// Asks the owner, which reaches the store more often than not, then the seed peers in turn. The
-/// seed peers share the partitions that they gather for, as the owner has other work.
+/// Asks the owner first, which usually has a connection to the store, then the seed peers in turn.
+/// The partitions to gather for are divided among the seed peers other than the owner, which has
+/// other work.
 class PeerRelay final : public RecordRelay {
  public:
   PeerRelay(const Context& context, const OwnerDirectory& directory, http::Client& client);
@@ -51,25 +53,26 @@
                                               std::vector<KeyedRecord> records) override;
 
  private:
-  /// Addresses to ask, in order.
+  /// The addresses to ask, in this order.
   std::vector<SocketAddress> Peers() const;
-  /// Nothing when that is this entry itself, or when there are no seed peers beside the owner.
+  /// The address of the gathering entry; nothing when that is this entry, or when the owner is the
+  /// only seed peer.
   std::optional<SocketAddress> GathererOf(std::uint32_t partition) const;
   boost::asio::awaitable<WriteVerdict> Ask(SocketAddress peer, std::string body, Duration timeout);
 
   const Context context;
   const OwnerDirectory& directory;
   http::Client& client;
-  /// Where the turn of the seed peers begins.
+  /// Selects the seed peer that is asked first after the owner; increased after each failure.
   std::size_t next_seed = 0;
-  /// By how many places the partitions are moved among those that gather, after failures.
+  /// Shifts the assignment of partitions to gathering entries; increased after each failure.
   std::size_t next_gatherer = 0;
 };
 
-/// The other side: writes what another entry can't.
+/// The serving side of the relay: writes records for other entries.
 ///
 ///     POST /v1/records   {"partition":3,"records":[["KEY","VALUE"],...]}
-///                        200 stored, 503 not stored, 504 may be stored, 400
+///                        200 stored, 503 not stored, 504 may be stored, 400 malformed
 class RelayHandler {
  public:
   explicit RelayHandler(const Context& context);
--- a/src/job_entry/record_tail.cc
+++ b/src/job_entry/record_tail.cc
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// On top of the time that a read may wait at the store: an answer takes 4 ms, and 240 ms when the
+/// Added to the time that a read may wait at the store: an answer takes 4 ms, and 240 ms when the
 /// store is slow.
 constexpr Duration kReadMargin = std::chrono::milliseconds(900);
 constexpr Duration kNewestTimeout = std::chrono::milliseconds(2000);
-/// Between two tries while the store doesn't answer. Short, since a tail behind its topic holds up
-/// whoever waits for its proof, and long enough that nine entries don't press on a returning store.
+/// The pause between attempts while the store doesn't answer. It is short, since users of the proof
+/// wait while the tail lags, and long enough that nine entries don't overload a recovering store.
 constexpr Duration kRetryPause = std::chrono::milliseconds(150);
 
 }  // namespace
@@ -77,7 +77,7 @@
   }
   if (read->has_gap) {
     LogEvent(telemetry::LogLevel::kWarning, "records_skipped",
-             "the store has dropped records before they were read; reading the newest of each key");
+             "the store deleted records before they were read; reading the newest of each key");
     this->next.reset();
     co_return true;
   }
@@ -96,17 +96,17 @@
   co_return true;
 }
 
-void RecordTail::NoteOutcome(bool is_answered, const std::string& why) {
-  if (is_answered == !this->is_lost) {
+void RecordTail::NoteOutcome(bool is_answered, const std::string& reason) {
+  if (is_answered == !this->is_store_lost) {
     return;
   }
-  this->is_lost = !is_answered;
+  this->is_store_lost = !is_answered;
   if (is_answered) {
     this->listener.OnStoreRecovered();
   }
   LogEvent(is_answered ? telemetry::LogLevel::kInfo : telemetry::LogLevel::kWarning,
            is_answered ? "store_regained" : "store_lost",
-           is_answered ? "records are followed again" : why,
+           is_answered ? "the store answers again" : reason,
            {{"topic", std::to_string(static_cast<int>(this->options.topic))}});
 }
 
--- a/src/job_entry/record_tail.h
+++ b/src/job_entry/record_tail.h
@@ -9,49 +9,51 @@
 
 namespace chervilspar::job_entry {
 
-/// Hears of records in their order.
+/// Receives records in the order of the log.
 class RecordListener {
  public:
   virtual ~RecordListener() = default;
-  /// The same record may come again, and after a gap only the newest of each key come.
+  /// A record may be delivered more than once; after a gap only the newest of each key is
+  /// delivered.
   virtual void OnRecords(const std::vector<KeyedRecord>& records) = 0;
-  /// The newest record of each key; keys that are left out have no record any more.
+  /// The newest record of each key; keys that are not in the list have no record.
   virtual void OnNewest(const std::vector<KeyedRecord>& records) { this->OnRecords(records); }
-  /// The store answers again after it did not.
+  /// The store answers again after a failed read.
   virtual void OnStoreRecovered() {}
 };
 
-/// Follows one partition of a topic for ever.
+/// Follows one partition of a topic until it is stopped.
 ///
-/// What can go wrong: a read waits at the store, the connection goes silent, and this process goes
-/// on believing what has long been changed. So each read has a time limit, and `Proof` tells since
-/// when the records are known to their end; whoever relies on them asks how old that is.
+/// A connection may become unresponsive while a read waits at the store, and this process would go
+/// on using outdated records. Each read therefore has a timeout, and `Proof` returns the time up to
+/// which the records are known to be complete; users check its age.
 class RecordTail : public std::enable_shared_from_this<RecordTail> {
  public:
   struct Options {
     Topic topic = Topic::kOperators;
     std::uint32_t partition = 0;
-    /// How long a read waits at the store for news.
+    /// How long a read waits at the store for new records.
     Duration wait = std::chrono::seconds(1);
-    /// Takes an empty answer as proof up to the end of its wait, not only up to its beginning. The
-    /// platform's reads may miss records for up to a second, so only for what bears that.
+    /// An empty answer proves that there were no records until the end of its wait, not only until
+    /// its start. The platform's reads may miss records for up to a second, so this is only for
+    /// users that tolerate such a delay.
     bool extends_proof_by_wait = false;
-    /// Between news and the next read, so that what comes in quick succession is read together.
+    /// The pause after new records, so that those in quick succession are read together.
     Duration gather{};
-    /// Where to begin; absent: with the newest of each key.
+    /// The offset to start at; if absent, starts with the newest record of each key.
     std::optional<std::uint64_t> from;
   };
 
   RecordTail(const Context& context, Options options, RecordListener& listener);
 
   void Start();
-  /// How long the next reads wait at the store for news.
+  /// Sets how long further reads wait at the store for new records.
   void SetWait(Duration wait) { this->wait = wait; }
-  /// The listener is not called any more.
+  /// Stops following; the listener isn't called after this.
   void Stop();
-  /// The records that existed at this time have been told; nothing before the first answer.
+  /// All records that existed at this time have been delivered; nothing before the first answer.
   std::optional<TimePoint> Proof() const { return this->proof; }
-  /// The offset after the last record that was told; nothing before the first answer.
+  /// The offset after the last delivered record; nothing before the first answer.
   std::optional<std::uint64_t> Next() const { return this->next; }
   /// True when the proof is younger than `limit`.
   bool IsFresh(Duration limit) const;
@@ -60,14 +62,14 @@
   boost::asio::awaitable<void> Run(std::shared_ptr<RecordTail> self);
   boost::asio::awaitable<bool> Resync();
   boost::asio::awaitable<bool> ReadOn();
-  void NoteOutcome(bool is_answered, const std::string& why);
+  void NoteOutcome(bool is_answered, const std::string& reason);
 
   const Context context;
   const Options options;
   RecordListener& listener;
   Duration wait;
   bool is_stopped = false;
-  bool is_lost = false;
+  bool is_store_lost = false;
   std::optional<std::uint64_t> next;
   std::optional<TimePoint> proof;
 };
--- a/src/job_entry/work_queue.cc
+++ b/src/job_entry/work_queue.cc
@@ -6,7 +6,7 @@
 
 void WorkQueue::Add(Work work) {
   this->waiting.push_back(std::move(work));
-  if (this->runners < this->most) {
+  if (this->runners < this->max_running) {
     ++this->runners;
     Spawn(this->context, this->Run(this->shared_from_this()));
   }
--- a/src/job_entry/work_queue.h
+++ b/src/job_entry/work_queue.h
@@ -9,25 +9,26 @@
 
 namespace chervilspar::job_entry {
 
-/// Runs work in the order in which it was added, a few pieces side by side.
+/// Runs pieces of work in the order in which they were added, with limited concurrency.
 ///
-/// What can go wrong: hundreds of calls to one address leave at once, the client has fewer
-/// connections than that, and all but the first few fail without having been sent.
+/// The client has a limited number of connections to an address. If hundreds of calls to it started
+/// at once, all but the first few would fail without being sent.
 class WorkQueue : public std::enable_shared_from_this<WorkQueue> {
  public:
   using Work = std::function<boost::asio::awaitable<void>()>;
 
-  /// `most`: pieces of work under way at once.
-  WorkQueue(const Context& context, std::size_t most) : context(context), most(most) {}
+  /// `max_running`: pieces of work that run concurrently.
+  WorkQueue(const Context& context, std::size_t max_running)
+      : context(context), max_running(max_running) {}
 
-  /// Work keeps alive what it uses.
+  /// `work` has to keep alive what it uses.
   void Add(Work work);
 
  private:
   boost::asio::awaitable<void> Run(std::shared_ptr<WorkQueue> self);
 
   const Context context;
-  const std::size_t most;
+  const std::size_t max_running;
   std::size_t runners = 0;
   std::deque<Work> waiting;
 };
--- a/tests/job_entry/carrying_test.cc
+++ b/tests/job_entry/carrying_test.cc
@@ -13,10 +13,10 @@
 
 constexpr std::uint64_t kJobs = 12;
 constexpr std::uint32_t kTasks = 4;
-/// Orders that a process gives in its first minutes.
-constexpr std::uint64_t kFormerOrders = 100000;
+/// More orders than a process sends in its first minutes.
+constexpr std::uint64_t kPreviousOrders = 100000;
 
-/// Three entries that carry for each other, and endpoints that take 24 tasks at once.
+/// Three entries that forward orders for each other, and endpoints that run 24 tasks concurrently.
 class CarryingFleet : public ::testing::Test {
  protected:
   CarryingFleet() : fleet(this->io, 4) {
@@ -26,8 +26,8 @@
     }
   }
 
-  void RunUntil(Duration longest, const std::function<bool()>& is_over) {
-    job_entry::RunUntil(this->io, longest, is_over);
+  void RunUntil(Duration timeout, const std::function<bool()>& is_over) {
+    job_entry::RunUntil(this->io, timeout, is_over);
   }
 
   FakeEntry* Owner() {
@@ -39,8 +39,8 @@
     return nullptr;
   }
 
-  /// Waits for an owner that knows the others.
-  FakeEntry* Settle() {
+  /// Waits until there is an owner that knows the other entries, and returns it.
+  FakeEntry* WaitForOwner() {
     this->RunUntil(std::chrono::seconds(5), [this] {
       return this->Owner() != nullptr && this->fleet.store.members.size() == 3;
     });
@@ -67,15 +67,16 @@
   FakeFleet fleet;
 };
 
-/// The owner's link and processor bound the fleet when it gives every order itself.
+/// Guards against an owner that sends all orders itself: its network link and CPU would limit the
+/// fleet.
 TEST_F(CarryingFleet, OthersCarryTheOwnersOrders) {
-  FakeEntry* const owner = this->Settle();
+  FakeEntry* const owner = this->WaitForOwner();
   ASSERT_NE(owner, nullptr);
   this->SubmitAll(*owner);
   this->RunUntil(std::chrono::seconds(8), [this] { return this->AreAllDone(); });
   EXPECT_TRUE(this->AreAllDone());
   EXPECT_TRUE(this->fleet.endpoints.violations.empty());
-  // Which carrier an endpoint gets depends on the ports; that the owner gives no order doesn't.
+  // The choice of the carrier depends on the ports, but the owner never sends an order itself.
   EXPECT_EQ(owner->endpoints->starts, 0);
   int carried = 0;
   for (const auto& entry : this->fleet.entries) {
@@ -84,10 +85,10 @@
   EXPECT_EQ(carried, static_cast<int>(kJobs * kTasks));
 }
 
-/// A carrier dies with orders of which nobody knows whether they were carried out. Given anew
-/// without care, a deposit is taken twice; not given again, its job never ends.
+/// A carrier fails with orders whose outcome is unknown. Resending them without a check may run a
+/// task twice, such as a deposit; not resending them leaves their job unfinished.
 TEST_F(CarryingFleet, ACarrierThatDiesCostsNoTask) {
-  FakeEntry* const owner = this->Settle();
+  FakeEntry* const owner = this->WaitForOwner();
   ASSERT_NE(owner, nullptr);
   this->SubmitAll(*owner);
   this->RunUntil(std::chrono::seconds(3),
@@ -100,10 +101,10 @@
   EXPECT_TRUE(this->fleet.endpoints.violations.empty()) << this->fleet.endpoints.violations.front();
 }
 
-/// The owner dies while others carry its orders. Its successor's token has to stop what is still on
-/// its way.
+/// The owner fails while others forward its orders. Its successor's token has to fence off orders
+/// that are still in flight.
 TEST_F(CarryingFleet, AnOwnerThatDiesCostsNoTask) {
-  FakeEntry* const owner = this->Settle();
+  FakeEntry* const owner = this->WaitForOwner();
   ASSERT_NE(owner, nullptr);
   FakeEntry& other =
       owner == this->fleet.entries[0].get() ? *this->fleet.entries[1] : *this->fleet.entries[0];
@@ -116,10 +117,10 @@
   EXPECT_TRUE(this->fleet.endpoints.violations.empty()) << this->fleet.endpoints.violations.front();
 }
 
-/// All answers come late for a while, as when the owner's own link is full. It must not give all
-/// orders itself from then on, over that link.
+/// All answers are late for a while, as when the owner's own link is saturated. The owner must not
+/// send all further orders itself over that link.
 TEST_F(CarryingFleet, CarriersWhoseAnswersCameLateCarryAgain) {
-  FakeEntry* const owner = this->Settle();
+  FakeEntry* const owner = this->WaitForOwner();
   ASSERT_NE(owner, nullptr);
   for (const auto& entry : this->fleet.entries) {
     entry->endpoints->delay = entry.get() == owner ? milliseconds(0) : milliseconds(1700);
@@ -136,19 +137,19 @@
   for (const auto& entry : this->fleet.entries) {
     entry->endpoints->delay = {};
   }
-  const int given = owner->endpoints->starts;
+  const int starts_before = owner->endpoints->starts;
   this->SubmitAll(*owner);
   this->io.run_for(milliseconds(500));
-  EXPECT_EQ(owner->endpoints->starts, given);
+  EXPECT_EQ(owner->endpoints->starts, starts_before);
   this->RunUntil(std::chrono::seconds(10),
                  [this] { return this->fleet.endpoints.confirmed.size() == (kJobs + 4) * kTasks; });
   EXPECT_EQ(this->fleet.endpoints.confirmed.size(), (kJobs + 4) * kTasks);
   EXPECT_TRUE(this->fleet.endpoints.violations.empty()) << this->fleet.endpoints.violations.front();
 }
 
-/// A carrier is cut off from the endpoints, but not from the owner.
+/// Carriers are disconnected from the endpoints, but not from the owner.
 TEST_F(CarryingFleet, ACarrierThatDoesNotReachTheEndpointsIsPassedOver) {
-  FakeEntry* const owner = this->Settle();
+  FakeEntry* const owner = this->WaitForOwner();
   ASSERT_NE(owner, nullptr);
   for (const auto& entry : this->fleet.entries) {
     entry->endpoints->is_disconnected = entry.get() != owner;
@@ -159,10 +160,10 @@
   EXPECT_TRUE(this->fleet.endpoints.violations.empty()) << this->fleet.endpoints.violations.front();
 }
 
-/// Guards against taking a start for done as a carrier answers an order of the same number, which
-/// this entry's former process gave.
+/// Guards against counting a start as done because a carrier answers an order with the same number
+/// from this entry's previous process.
 TEST_F(CarryingFleet, AnswersToAFormerProcessSettleNothing) {
-  FakeEntry* const owner = this->Settle();
+  FakeEntry* const owner = this->WaitForOwner();
   ASSERT_NE(owner, nullptr);
   for (const auto& entry : this->fleet.entries) {
     entry->endpoints->is_disconnected = true;
@@ -180,7 +181,7 @@
       asio::detached);
   this->io.run_for(milliseconds(2));
   rpc::CarriedAnswers answers;
-  for (std::uint64_t number = 1; number <= kFormerOrders; ++number) {
+  for (std::uint64_t number = 1; number <= kPreviousOrders; ++number) {
     answers.push_back({number, jobs::OrderOutcome::kDone, std::nullopt});
   }
   carried->OnAnswers(std::move(answers));
--- a/tests/job_entry/crowded_store_test.cc
+++ b/tests/job_entry/crowded_store_test.cc
@@ -14,15 +14,15 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A fleet of a hundred entries, four partitions, and a store that takes five appends a second in
-/// each and refuses what would wait for more than two seconds.
+/// A fleet of a hundred entries, four partitions, and a store that takes five appends a second per
+/// partition and refuses appends that would queue for more than two seconds.
 constexpr int kEntries = 100;
 constexpr Duration kSlowAppend = milliseconds(200);
-constexpr Duration kLongestQueue = seconds(2);
-/// Callers wait for three seconds; what is stored in half of that can still be done on time.
-constexpr Duration kInTime = milliseconds(1500);
+constexpr Duration kMaxQueueTime = seconds(2);
+/// Callers wait for three seconds; a job stored within half of that can still finish on time.
+constexpr Duration kStoreDeadline = milliseconds(1500);
 
-/// Asks one entry without a network between.
+/// Calls the relay handler of one entry without a network.
 class DirectRelay final : public RecordRelay {
  public:
   explicit DirectRelay(const RelayHandler& handler) : handler(handler) {}
@@ -49,12 +49,12 @@
   const RelayHandler& handler;
 };
 
-/// Entries that accept jobs; one of them writes for the others when they ask.
+/// Entries that accept jobs; the first one writes for the others on request.
 class CrowdedStore : public ::testing::Test {
  protected:
   CrowdedStore() : fleet(this->io, 0) {
     this->fleet.store.append_time = kSlowAppend;
-    this->fleet.store.max_queue_time = kLongestQueue;
+    this->fleet.store.max_queue_time = kMaxQueueTime;
     for (int i = 0; i < kEntries; ++i) {
       this->entries.push_back(std::make_unique<FakeEntry>(this->io, this->fleet.store,
                                                           this->fleet.endpoints, this->fleet.vms,
@@ -67,10 +67,10 @@
     }
   }
 
-  /// A job is handed in at each entry; gives how many are stored in time.
-  int HandInEverywhere() {
+  /// Submits a job at each entry and returns how many are stored in time.
+  int SubmitEverywhere() {
     const auto stored = std::make_shared<int>(0);
-    const TimePoint end = this->entries[0]->context.Now() + kInTime;
+    const TimePoint end = this->entries[0]->context.Now() + kStoreDeadline;
     for (const auto& writer : this->writers) {
       KeyedRecord record{jobs::ToString(jobs::JobId{++this->jobs}), "{}"};
       asio::co_spawn(
@@ -97,15 +97,15 @@
   std::uint64_t jobs = 0;
 };
 
-/// Guards against callers that are refused while a store is slow, as each entry of a large fleet
-/// waits for an append of its own, and each that is refused asks another for one more.
+/// Guards against callers being refused while the store is slow: each entry of a large fleet waits
+/// for its own append, and each refused entry asks another one for one more.
 TEST_F(CrowdedStore, TakesTheJobsOfAllEntriesInFewAppends) {
-  this->HandInEverywhere();
-  EXPECT_EQ(this->HandInEverywhere(), kEntries);
+  this->SubmitEverywhere();
+  EXPECT_EQ(this->SubmitEverywhere(), kEntries);
 }
 
-/// Guards against an entry whose connections to the store are all taken by what it writes for
-/// others, one append each: it loses its place in the group.
+/// Guards against an entry that uses all its connections to the store for separate appends for
+/// other entries, and drops out of the group.
 TEST_F(CrowdedStore, RecordsOfOtherEntriesShareAnAppend) {
   int stored = 0;
   for (int i = 0; i < kEntries; ++i) {
--- a/tests/job_entry/fake_endpoints.cc
+++ b/tests/job_entry/fake_endpoints.cc
@@ -26,9 +26,9 @@
 }  // namespace
 
 void FakeEndpoints::Endpoint::Restart() {
-  const std::int64_t born = this->born_ms + 1;
+  const std::int64_t next_born_ms = this->born_ms + 1;
   *this = {};
-  this->born_ms = born;
+  this->born_ms = next_born_ms;
 }
 
 void FakeEndpoints::Confirm(const Endpoint& endpoint, const jobs::EndedRun& ended) {
@@ -42,7 +42,7 @@
   this->confirmed.insert(ended.task);
   if (this->last_start[ended.task] > ended_at) {
     this->violations.push_back(jobs::ToString(ended.task) +
-                               " has started after an end that was confirmed");
+                               " started after its end had been confirmed");
   }
 }
 
@@ -74,8 +74,8 @@
                      [&](const auto& entry) { return entry.second.active.contains(task); });
 }
 
-asio::awaitable<void> FakeEndpointLink::Wait(Duration span) {
-  asio::steady_timer timer(this->all.io, span);
+asio::awaitable<void> FakeEndpointLink::Wait(Duration duration) {
+  asio::steady_timer timer(this->all.io, duration);
   boost::system::error_code ignored;
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
@@ -94,12 +94,12 @@
 
 asio::awaitable<HeldOutcome> FakeEndpointLink::Hold(jobs::HoldOrder order, Duration timeout) {
   HeldOutcome held;
-  const TimePoint give_up = Now() + order.wait;
+  const TimePoint deadline = Now() + order.wait;
   const std::int64_t born_ms = this->all.endpoints[order.endpoint].born_ms;
   FakeEndpoints::Endpoint* endpoint = co_await this->Reach(order.endpoint, timeout);
   while (endpoint != nullptr) {
     if (endpoint->born_ms != born_ms) {
-      co_return held;  // the process that was asked is gone
+      co_return held;  // the process that received the order is gone
     }
     if (order.token < endpoint->token) {
       held.outcome = OrderOutcome::kTokenTooLow;
@@ -113,7 +113,7 @@
       }
       return is_confirmed;
     });
-    // It speaks of ends that were told before it was sent, not of those that come while it waits.
+    // The order confirms ends reported before it was sent, not those that occur while it waits.
     order.confirmed_end = 0;
     if (order.lease_end_ms) {
       endpoint->lease_end = std::max(endpoint->lease_end, FromClock(*order.lease_end_ms));
@@ -123,7 +123,7 @@
         run.lease_end = std::max(run.lease_end, FromClock(*order.lease_end_ms));
       }
     }
-    if (!endpoint->ended.empty() || Now() >= give_up) {
+    if (!endpoint->ended.empty() || Now() >= deadline) {
       break;
     }
     co_await this->Wait(kStep);
@@ -165,13 +165,13 @@
     co_return OrderOutcome::kRunTooOld;
   }
   if (this->all.IsRunning(order.task)) {
-    this->all.violations.push_back(jobs::ToString(order.task) + " runs twice at once");
+    this->all.violations.push_back(jobs::ToString(order.task) + " runs twice concurrently");
   }
-  const bool is_over = this->all.may_rerun_after_unreported_end
-                           ? this->all.confirmed.contains(order.task)
-                           : this->all.done.contains(order.task);
-  if (is_over) {
-    this->all.violations.push_back(jobs::ToString(order.task) + " starts after it has ended well");
+  const bool has_succeeded = this->all.may_rerun_after_unreported_end
+                                 ? this->all.confirmed.contains(order.task)
+                                 : this->all.done.contains(order.task);
+  if (has_succeeded) {
+    this->all.violations.push_back(jobs::ToString(order.task) + " starts after it has succeeded");
   }
   endpoint->last_run[order.task] = order.run;
   endpoint->active[order.task] = {order.run, Now() + this->all.task_time,
--- a/tests/job_entry/fake_endpoints.h
+++ b/tests/job_entry/fake_endpoints.h
@@ -11,7 +11,8 @@
 
 namespace chervilspar::job_entry {
 
-/// Endpoints that run tasks under leases and tokens, in memory, and watch that no task runs twice.
+/// In-memory endpoints that run tasks under leases and fencing tokens, and record violations such
+/// as tasks that run twice.
 class FakeEndpoints {
  public:
   explicit FakeEndpoints(boost::asio::io_context& io) : io(io) {}
@@ -27,42 +28,42 @@
     std::map<jobs::TaskKey, std::uint64_t> last_run;
     std::vector<jobs::EndedRun> ended;
     std::uint64_t next_end = 1;
-    /// When the runs of `ended` ended, by their numbers.
+    /// When the runs in `ended` ended, by the numbers of their ends.
     std::map<std::uint64_t, TimePoint> ended_at;
-    /// This life's beginning, in Unix milliseconds.
+    /// The process start in Unix milliseconds; identifies the incarnation.
     std::int64_t born_ms = 1;
-    /// All leases given in this life end by then.
+    /// The latest end of the leases granted in this incarnation.
     TimePoint lease_end{};
-    /// When the leases last lapsed.
+    /// When leases last lapsed.
     TimePoint lapsed_at{};
     bool is_unreachable = false;
 
-    /// The process starts anew under the same name: it runs and knows nothing.
+    /// Restarts the process under the same name: it loses all runs and state.
     void Restart();
   };
 
-  /// Brings what has ended or lapsed by now to the lists.
+  /// Moves runs that have ended or whose leases have lapsed to the lists of ended runs.
   void Advance();
   bool IsRunning(const jobs::TaskKey& task) const;
-  /// An end was confirmed. It counts unless the endpoint's leases lapsed since; then the owner was
-  /// free to start the task elsewhere.
+  /// Registers a confirmed end. It is ignored if the endpoint's leases have lapsed since the end,
+  /// as the owner was then allowed to start the task elsewhere.
   void Confirm(const Endpoint& endpoint, const jobs::EndedRun& ended);
 
   boost::asio::io_context& io;
   std::map<std::string, Endpoint> endpoints;
   Duration task_time = std::chrono::milliseconds(150);
   std::set<jobs::TaskKey> done;
-  /// Those of them whose end was confirmed in time.
+  /// The tasks in `done` whose end was confirmed in time.
   std::set<jobs::TaskKey> confirmed;
   std::map<jobs::TaskKey, TimePoint> last_start;
-  /// A task may start again after an end that nobody was told of before the leases lapsed. Tests
-  /// without such faults are stricter: no task starts again after it has ended well.
+  /// Tolerates another start of a task whose successful end was not confirmed before the leases
+  /// lapsed. Tests without such faults are stricter: no task starts again after it has succeeded.
   bool may_rerun_after_unreported_end = false;
   std::vector<std::string> violations;
   std::vector<TimePoint> starts;
 };
 
-/// One entry's way to the endpoints.
+/// One entry's link to the endpoints.
 class FakeEndpointLink final : public EndpointLink {
  public:
   explicit FakeEndpointLink(FakeEndpoints& all) : all(all) {}
@@ -74,15 +75,16 @@
   boost::asio::awaitable<jobs::OrderOutcome> Pace(jobs::PaceOrder order, Duration timeout) override;
 
   bool is_disconnected = false;
-  /// What the endpoints answer comes this much later.
+  /// The additional delay of all answers.
   Duration delay{};
-  /// Starts that were given through this link.
+  /// The number of starts sent through this link.
   int starts = 0;
 
  private:
+  /// Gives the endpoint after the link's delay; null after `timeout` if it can't be reached.
   boost::asio::awaitable<FakeEndpoints::Endpoint*> Reach(const std::string& endpoint,
                                                          Duration timeout);
-  boost::asio::awaitable<void> Wait(Duration span);
+  boost::asio::awaitable<void> Wait(Duration duration);
 
   FakeEndpoints& all;
 };
--- a/tests/job_entry/fake_fleet.cc
+++ b/tests/job_entry/fake_fleet.cc
@@ -70,8 +70,8 @@
   jobs::EndpointRecord record;
   record.id = std::string(key);
   record.service = ServiceId{"desk"};
-  const bool names_zone = value.starts_with(kZonePrefix);
-  record.zone = ZoneId{names_zone ? std::string(value.substr(kZonePrefix.size())) : "z"};
+  const bool has_zone = value.starts_with(kZonePrefix);
+  record.zone = ZoneId{has_zone ? std::string(value.substr(kZonePrefix.size())) : "z"};
   record.address = {"127.0.0.1", 2};
   record.born_ms = 1;
   record.capacity = {8000, 8000, 0};
@@ -135,9 +135,9 @@
   return acceptor.local_endpoint().port();
 }
 
-void RunUntil(boost::asio::io_context& io, Duration longest, const std::function<bool()>& is_over) {
+void RunUntil(boost::asio::io_context& io, Duration timeout, const std::function<bool()>& is_over) {
   const SystemClock clock;
-  const TimePoint end = clock.Now() + longest;
+  const TimePoint end = clock.Now() + timeout;
   while (clock.Now() < end && !is_over()) {
     io.run_for(std::chrono::milliseconds(10));
   }
--- a/tests/job_entry/fake_fleet.h
+++ b/tests/job_entry/fake_fleet.h
@@ -16,19 +16,20 @@
 
 namespace chervilspar::job_entry {
 
-/// VMs that reboot at once, with an endpoint each, and count how often.
+/// VMs with one endpoint each that reboot immediately, and a record of the orders to them.
 class FakeVms {
  public:
   std::vector<jobs::VmRecord> vms;
   std::map<VmId, int> reboots;
-  /// The tokens of all orders, in the order in which they came.
+  /// The tokens of all reboot orders in order of arrival.
   std::vector<std::uint64_t> tokens;
-  /// How old the last list was at each order, and when that was read.
+  /// The age of the last VM list at each reboot order.
   std::vector<Duration> list_ages;
+  /// When the VMs were last listed.
   TimePoint listed{};
-  /// Orders are refused for now, so that they are given again and again.
+  /// All orders are answered with `kBusy`, so that the entry repeats them.
   bool is_busy = false;
-  /// The wave doesn't name these, as far as the service knows.
+  /// VMs whose orders are answered with `kNotAllowed`, as if the wave did not include them.
   std::set<VmId> refused;
 };
 
@@ -60,8 +61,8 @@
   FakeVms& all;
 };
 
-/// Reads the records that the tests write: rules "version", endpoints by name, in zone "z" unless
-/// their value is "zone:" with another, and cordons.
+/// Reads the records that the tests write: rules, whose value is the version; endpoints, in zone
+/// "z" unless their value is "zone:" and the name of another one; waves and cordons.
 class FakeRecords final : public RecordReader {
  public:
   bool IsPolicyKey(std::string_view key) const override { return key == "rules"; }
@@ -69,34 +70,36 @@
   Result<jobs::EndpointRecord> ReadEndpoint(std::string_view key,
                                             std::string_view value) const override;
   bool IsCordonKey(std::string_view key) const override { return key.starts_with("cordon/"); }
-  /// The value "?" can't be read.
+  /// Fails for the value "?".
   Result<ZoneId> ReadCordon(std::string_view key,
                             const std::optional<std::string>& value) const override;
   bool IsWaveKey(std::string_view key) const override { return key.starts_with("wave"); }
-  /// The names of the wave's VMs, with commas; before them "2:" for the second wave.
+  /// The value lists the wave's VMs, separated by commas, after "2:" for the second wave.
   Result<jobs::Wave> ReadWave(std::string_view value) const override;
   KeyedRecord WriteWaveStatus(const jobs::Wave&, bool is_complete) const override {
     return {"wave", is_complete ? "complete" : "running"};
   }
 };
 
-/// A port that nobody listened at a moment ago; a fixed one would be taken where tests run twice.
+/// Returns a port on which nothing listened just now. A fixed port would be in use when tests run
+/// in parallel.
 std::uint16_t FreePort(boost::asio::io_context& io);
 
-/// Runs until `is_over`, or for `longest`.
-void RunUntil(boost::asio::io_context& io, Duration longest, const std::function<bool()>& is_over);
+/// Runs until `is_over` returns true, for at most `timeout`.
+void RunUntil(boost::asio::io_context& io, Duration timeout, const std::function<bool()>& is_over);
 
-/// One entry without its HTTP servers.
+/// An entry without its HTTP servers.
 class FakeEntry {
  public:
   FakeEntry(boost::asio::io_context& io, FakeStore& store, FakeEndpoints& endpoints, FakeVms& vms,
             const std::string& name, double cores = 1.0);
 
-  /// Carries orders for the owner at this port of the loopback address, and as owner has others
-  /// carry its own, however few endpoints there are; before `Start`.
+  /// Forwards orders for the owner on this loopback port; as the owner, has its own orders
+  /// forwarded by others regardless of the number of endpoints. Called before `Start`.
   void EnableCarrying(std::uint16_t port);
   void Start();
-  /// The process is gone, or cut off from everything; it can't be told from outside.
+  /// Disconnects the entry from everything. To others this looks the same as the end of its
+  /// process.
   void Disconnect();
   OwnerTerm::Answer Find(const jobs::JobId& id) const;
 
@@ -114,18 +117,18 @@
   std::shared_ptr<Election> election;
 };
 
-/// The entry is owner and has read the state.
+/// Whether the entry is the owner and has loaded the state.
 bool IsServing(const FakeEntry& entry);
 
-/// A store and endpoints with entries that come and go.
+/// A store, endpoints and VMs, with entries that tests add.
 class FakeFleet {
  public:
   explicit FakeFleet(boost::asio::io_context& io, int endpoint_count = 3);
 
   FakeEntry& AddEntry(const std::string& name, double cores = 1.0);
-  /// One that carries orders at this port.
+  /// Adds an entry that forwards orders on this port.
   FakeEntry& AddCarrier(const std::string& name, std::uint16_t port);
-  /// A job of `tasks` tasks.
+  /// A job with one step of `tasks` tasks.
   static jobs::Job MakeJob(std::uint64_t number, std::uint32_t tasks);
 
   boost::asio::io_context& io;
--- a/tests/job_entry/fake_store.cc
+++ b/tests/job_entry/fake_store.cc
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-asio::awaitable<void> FakeStoreLink::Wait(Duration span) {
-  asio::steady_timer timer(this->store.io, span);
+asio::awaitable<void> FakeStoreLink::Wait(Duration duration) {
+  asio::steady_timer timer(this->store.io, duration);
   boost::system::error_code ignored;
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
@@ -69,16 +69,16 @@
     co_return outcome;
   }
   FakeStore::Partition& at = this->store.At(topic, partition);
-  Duration before{};
+  Duration queue_time{};
   if (this->store.max_queue_time) {
-    before = std::max<Duration>(at.busy_until - Now(), Duration::zero());
-    if (before > *this->store.max_queue_time) {
+    queue_time = std::max<Duration>(at.busy_until - Now(), Duration::zero());
+    if (queue_time > *this->store.max_queue_time) {
       outcome.kind = AppendOutcome::Kind::kNotStored;
       co_return outcome;
     }
-    at.busy_until = Now() + before + this->store.append_time;
+    at.busy_until = Now() + queue_time + this->store.append_time;
   }
-  co_await this->Wait(before + this->store.append_time);
+  co_await this->Wait(queue_time + this->store.append_time);
   if (end && *end != at.records.size()) {
     outcome.kind = AppendOutcome::Kind::kEndsElsewhere;
     co_return outcome;
--- a/tests/job_entry/fake_store.h
+++ b/tests/job_entry/fake_store.h
@@ -13,7 +13,7 @@
 
 namespace chervilspar::job_entry {
 
-/// What the platform's store keeps, in memory. Shared by the links of all entries.
+/// The contents of the platform's store, in memory. Shared by the links of all entries.
 class FakeStore {
  public:
   explicit FakeStore(boost::asio::io_context& io) : io(io) {}
@@ -22,7 +22,7 @@
     std::vector<KeyedRecord> records;
     std::map<std::string, std::uint64_t> token_of_writer;
     std::map<std::string, std::uint64_t> next_sequence;
-    /// The appends before have been carried out at this time.
+    /// When the queued appends will have completed.
     TimePoint busy_until{};
   };
   struct Member {
@@ -37,20 +37,19 @@
   boost::asio::io_context& io;
   std::map<std::pair<Topic, std::uint32_t>, Partition> partitions;
   std::map<std::string, Member> members;
-  /// Grows with each change of the members.
+  /// Incremented with each change of the members.
   std::uint64_t generation = 1;
-  /// A call is answered after this, an append after `append_time` more.
+  /// The response time of a call; appends take `append_time` in addition.
   Duration answer_time = std::chrono::milliseconds(1);
-  /// An append takes this long.
   Duration append_time = std::chrono::milliseconds(4);
-  /// A partition carries out one append after the other, and refuses what would wait for longer
-  /// than this.
+  /// If set, a partition executes appends one after the other and refuses an append that would wait
+  /// for longer than this.
   std::optional<Duration> max_queue_time;
-  /// Nothing answers and nothing is done.
+  /// The store doesn't answer or execute any call.
   bool is_down = false;
 };
 
-/// One entry's way to the store, which may misbehave for it alone.
+/// One entry's link to the store, which can simulate faults for this entry only.
 class FakeStoreLink final : public Store {
  public:
   explicit FakeStoreLink(FakeStore& store) : store(store) {}
@@ -72,33 +71,35 @@
   boost::asio::awaitable<Result<std::vector<std::string>>> Members(Duration timeout) override;
   boost::asio::awaitable<Status> Leave(std::string member, Duration timeout) override;
 
-  /// The entry is cut off, frozen or dead: its calls get no answer and do nothing.
+  /// The entry is disconnected, suspended or has ended: its calls get no answer and have no effect.
   bool is_disconnected = false;
-  /// Each read of all jobs of a partition takes this long, as on a link that they fill.
+  /// Additional time for reading all jobs of a partition, as on a saturated link.
   Duration jobs_read_time{};
-  /// The next appends are refused for certain.
+  /// The number of further appends that are refused without effect.
   int refuse_appends = 0;
-  /// The next appends take effect and their answers are lost.
+  /// The number of further appends that take effect but whose answers are lost.
   int lose_answers = 0;
   /// After a lost answer, all further appends are refused.
   bool refuses_after_loss = false;
   int appends = 0;
-  /// Reads of a topic's newest records: so many are under way, and so many were at once.
+  /// Reads of a topic's newest records that are in progress.
   std::map<Topic, int> reads;
+  /// The largest value of `reads` so far.
   std::map<Topic, int> max_concurrent_reads;
-  /// Reads that wait for news of this topic get no answer, as on a connection that fell silent.
+  /// Reads that wait for new records of this topic get no answer, as on an unresponsive connection.
   std::optional<Topic> unanswered_reads;
-  /// Appends to this topic get no answer and do nothing.
+  /// Appends to this topic get no answer and have no effect.
   std::optional<Topic> unanswered_appends;
 
  private:
-  boost::asio::awaitable<void> Wait(Duration span);
+  boost::asio::awaitable<void> Wait(Duration duration);
   boost::asio::awaitable<AppendOutcome> AppendIf(Topic topic, std::uint32_t partition,
                                                  std::vector<KeyedRecord> records,
                                                  std::optional<Writer> writer,
                                                  std::optional<std::uint64_t> end,
                                                  Duration timeout);
-  /// True when the call gets through; else it waits out its time limit.
+  /// Returns true after the response time when the call is answered, and false otherwise, at the
+  /// latest after `timeout`.
   boost::asio::awaitable<bool> Reach(Duration timeout);
 
   FakeStore& store;
--- a/tests/job_entry/job_writer_test.cc
+++ b/tests/job_entry/job_writer_test.cc
@@ -16,21 +16,21 @@
 
 namespace asio = boost::asio;
 
-/// What a caller is told when the store misbehaves, as a table.
+/// A fault of the store, the resulting verdict and the number of stored records.
 struct VerdictCase {
   const char* name;
-  std::function<void(FakeStoreLink&)> misbehave;
+  std::function<void(FakeStoreLink&)> inject_fault;
   WriteVerdict verdict;
   std::size_t stored;
 };
 
 class Verdicts : public ::testing::TestWithParam<VerdictCase> {};
 
-TEST_P(Verdicts, AreTrue) {
+TEST_P(Verdicts, MatchWhatIsStored) {
   asio::io_context io;
   FakeFleet fleet(io);
   FakeEntry entry(io, fleet.store, fleet.endpoints, fleet.vms, "a");
-  GetParam().misbehave(*entry.store);
+  GetParam().inject_fault(*entry.store);
   std::optional<WriteVerdict> verdict;
   asio::co_spawn(
       io,
@@ -68,7 +68,7 @@
                       link.refuses_after_loss = true;
                     },
                     WriteVerdict::kMayBeStored, 1},
-        VerdictCase{"is_silent", [](FakeStoreLink& link) { link.is_disconnected = true; },
+        VerdictCase{"does_not_answer", [](FakeStoreLink& link) { link.is_disconnected = true; },
                     WriteVerdict::kMayBeStored, 0}),
     [](const auto& info) { return info.param.name; });
 
--- a/tests/job_entry/record_relay_test.cc
+++ b/tests/job_entry/record_relay_test.cc
@@ -17,14 +17,14 @@
 
 const KeyedRecord kRecord{"0000000000000001", "{}"};
 
-/// Another entry that answers as told, or writes into the same store.
+/// Another entry that returns a fixed verdict, and writes to the same store if that is `kStored`.
 class FakeRelay final : public RecordRelay {
  public:
   FakeRelay(WriteVerdict verdict, FakeStore& store) : verdict(verdict), store(store) {}
 
   asio::awaitable<WriteVerdict> Append(std::uint32_t partition,
                                        std::vector<KeyedRecord> records) override {
-    ++this->asked;
+    ++this->relay_calls;
     if (this->verdict == WriteVerdict::kStored) {
       for (const KeyedRecord& record : records) {
         this->store.At(Topic::kJobs, partition).records.push_back(record);
@@ -38,29 +38,29 @@
 
   const WriteVerdict verdict;
   FakeStore& store;
-  int asked = 0;
+  int relay_calls = 0;
 };
 
 struct RelayCase {
   const char* name;
-  std::function<void(FakeStoreLink&)> misbehave;
-  WriteVerdict elsewhere;
+  std::function<void(FakeStoreLink&)> inject_fault;
+  WriteVerdict relay_verdict;
   WriteVerdict verdict;
-  int asked;
+  int relay_calls;
 };
 
 class RelayedWrites : public ::testing::TestWithParam<RelayCase> {};
 
-/// The store turns one entry away, or its answers to this entry are lost, while the other entries
-/// are served. A caller whose connection is here would be refused, or told that its job may have
-/// run, although another entry can store it at once.
+/// The store refuses one entry, or its answers to this entry are lost, while it serves the other
+/// entries. A caller connected to this entry would be refused, or informed that its job may have
+/// run, although another entry could store it at once.
 TEST_P(RelayedWrites, AreStoredByAnotherEntry) {
   asio::io_context io;
   FakeFleet fleet(io);
   FakeEntry& entry = fleet.AddEntry("a");
-  FakeRelay relay(GetParam().elsewhere, fleet.store);
+  FakeRelay relay(GetParam().relay_verdict, fleet.store);
   const auto writer = std::make_shared<JobWriter>(entry.context, &relay);
-  GetParam().misbehave(*entry.store);
+  GetParam().inject_fault(*entry.store);
   std::optional<WriteVerdict> verdict;
   asio::co_spawn(
       io,
@@ -74,38 +74,39 @@
   }
   ASSERT_TRUE(verdict);
   EXPECT_EQ(*verdict, GetParam().verdict);
-  EXPECT_EQ(relay.asked, GetParam().asked);
+  EXPECT_EQ(relay.relay_calls, GetParam().relay_calls);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Stores, RelayedWrites,
     ::testing::Values(
-        RelayCase{"sound", [](FakeStoreLink&) {}, WriteVerdict::kStored, WriteVerdict::kStored, 0},
-        RelayCase{"turned_away", [](FakeStoreLink& link) { link.refuse_appends = 9; },
+        RelayCase{"no_fault", [](FakeStoreLink&) {}, WriteVerdict::kStored, WriteVerdict::kStored,
+                  0},
+        RelayCase{"store_refuses", [](FakeStoreLink& link) { link.refuse_appends = 9; },
                   WriteVerdict::kStored, WriteVerdict::kStored, 1},
-        RelayCase{"cut_off", [](FakeStoreLink& link) { link.is_disconnected = true; },
+        RelayCase{"disconnected", [](FakeStoreLink& link) { link.is_disconnected = true; },
                   WriteVerdict::kStored, WriteVerdict::kStored, 1},
-        RelayCase{"nobody_can_write", [](FakeStoreLink& link) { link.refuse_appends = 9; },
+        RelayCase{"no_entry_can_write", [](FakeStoreLink& link) { link.refuse_appends = 9; },
                   WriteVerdict::kNotStored, WriteVerdict::kNotStored, 1},
-        RelayCase{"the_other_is_unsure", [](FakeStoreLink& link) { link.refuse_appends = 99; },
+        RelayCase{"relay_outcome_unknown", [](FakeStoreLink& link) { link.refuse_appends = 99; },
                   WriteVerdict::kMayBeStored, WriteVerdict::kMayBeStored, 2}),
     [](const auto& info) { return info.param.name; });
 
 struct HandlerCase {
   const char* name;
   const char* body;
-  bool is_turned_away;
+  bool is_refused;
   unsigned status;
 };
 
 class RelayRequests : public ::testing::TestWithParam<HandlerCase> {};
 
-/// What an entry answers that is asked to write for another.
+/// The answers of an entry that is asked to write for another one.
 TEST_P(RelayRequests, AreAnswered) {
   asio::io_context io;
   FakeFleet fleet(io);
   FakeEntry& entry = fleet.AddEntry("a");
-  entry.store->refuse_appends = GetParam().is_turned_away ? 99 : 0;
+  entry.store->refuse_appends = GetParam().is_refused ? 99 : 0;
   const RelayHandler handler(entry.context);
   std::optional<unsigned> status;
   asio::co_spawn(
@@ -128,16 +129,16 @@
 INSTANTIATE_TEST_SUITE_P(
     Bodies, RelayRequests,
     ::testing::Values(
-        HandlerCase{"sound", R"({"partition":2,"records":[["0000000000000001","{}"]]})", false,
+        HandlerCase{"valid", R"({"partition":2,"records":[["0000000000000001","{}"]]})", false,
                     200},
-        HandlerCase{"turned_away", R"({"partition":2,"records":[["0000000000000001","{}"]]})", true,
-                    503},
+        HandlerCase{"store_refuses", R"({"partition":2,"records":[["0000000000000001","{}"]]})",
+                    true, 503},
         HandlerCase{"no_json", "records", false, 400},
         HandlerCase{"no_partition", R"({"records":[["a","b"]]})", false, 400},
         HandlerCase{"unknown_partition", R"({"partition":4,"records":[["a","b"]]})", false, 400},
         HandlerCase{"negative_partition", R"({"partition":-1,"records":[["a","b"]]})", false, 400},
         HandlerCase{"no_records", R"({"partition":2,"records":[]})", false, 400},
-        HandlerCase{"half_a_row", R"({"partition":2,"records":[["a"]]})", false, 400},
+        HandlerCase{"row_without_value", R"({"partition":2,"records":[["a"]]})", false, 400},
         HandlerCase{"value_of_another_type", R"({"partition":2,"records":[["a",1]]})", false, 400}),
     [](const auto& info) { return info.param.name; });
 
--- a/tests/job_entry/work_queue_test.cc
+++ b/tests/job_entry/work_queue_test.cc
@@ -11,42 +11,42 @@
 
 namespace asio = boost::asio;
 
-struct LaneCase {
+struct QueueCase {
   const char* name;
-  std::size_t most;
+  std::size_t limit;
   int pieces;
-  int at_once;
+  int max_running;
 };
 
-class Lanes : public ::testing::TestWithParam<LaneCase> {};
+class WorkQueues : public ::testing::TestWithParam<QueueCase> {};
 
-/// Four hundred VMs are to move at once, and the client has fewer connections to one address: what
-/// is above that fails without having been sent, and leaves with the next round.
-TEST_P(Lanes, RunAllWorkAFewPiecesAtATime) {
+/// Guards against exceeding the client's connections to one address, as when 400 VMs are to be
+/// moved at once: the excess calls fail without being sent and are delayed to the next round.
+TEST_P(WorkQueues, RunAllWorkAFewPiecesAtATime) {
   asio::io_context io;
   FakeFleet fleet(io);
   FakeEntry entry(io, fleet.store, fleet.endpoints, fleet.vms, "a");
-  const auto lane = std::make_shared<WorkQueue>(entry.context, GetParam().most);
+  const auto queue = std::make_shared<WorkQueue>(entry.context, GetParam().limit);
   int running = 0;
-  int at_once = 0;
+  int max_running = 0;
   std::vector<int> done;
   for (int i = 0; i < GetParam().pieces; ++i) {
-    lane->Add([&, i]() -> asio::awaitable<void> {
-      at_once = std::max(at_once, ++running);
+    queue->Add([&, i]() -> asio::awaitable<void> {
+      max_running = std::max(max_running, ++running);
       co_await Pause(entry.context, std::chrono::milliseconds(1));
       --running;
       done.push_back(i);
     });
   }
   io.run_for(std::chrono::seconds(2));
-  EXPECT_EQ(at_once, GetParam().at_once);
+  EXPECT_EQ(max_running, GetParam().max_running);
   EXPECT_EQ(done.size(), static_cast<std::size_t>(GetParam().pieces));
 }
 
-INSTANTIATE_TEST_SUITE_P(Sizes, Lanes,
-                         ::testing::Values(LaneCase{"one_after_the_other", 1, 30, 1},
-                                           LaneCase{"a_few", 20, 400, 20},
-                                           LaneCase{"less_than_may_run", 20, 3, 3}),
+INSTANTIATE_TEST_SUITE_P(Sizes, WorkQueues,
+                         ::testing::Values(QueueCase{"sequential", 1, 30, 1},
+                                           QueueCase{"a_few", 20, 400, 20},
+                                           QueueCase{"fewer_than_the_limit", 20, 3, 3}),
                          [](const auto& info) { return info.param.name; });
 
 }  // namespace
