--- a/src/job_entry/endpoint_registry.h
+++ b/src/job_entry/endpoint_registry.h
@@ -36,7 +36,7 @@
 
   void OnRecords(const std::vector<KeyedRecord>& records) override;
   void OnNewest(const std::vector<KeyedRecord>& records) override;
-  void OnStoreRegained() override;
+  void OnStoreRecovered() override;
 
  private:
   /// The decoded registration; nothing for a removal or an unreadable record.
--- a/src/job_entry/owner_term_load.cc
+++ b/src/job_entry/owner_term_load.cc
@@ -32,7 +32,7 @@
   // Concurrently: a slow store takes 250 ms for each page. Progress doesn't change any more, as the
   // token is announced.
   std::vector<KeyedRecord> progress;
-  std::vector<asio::awaitable<bool>> parts = this->job_log.Loads();
+  std::vector<asio::awaitable<bool>> parts = this->job_log.LoadPartitions();
   parts.push_back(this->registry.Load());
   parts.push_back(this->ReadProgress(progress));
   const bool is_read =
--- a/src/job_entry/vm_driver.cc
+++ b/src/job_entry/vm_driver.cc
@@ -47,7 +47,7 @@
       sizer(context.settings.decisions.sizer),
       sizes_log(scheduler, this->sizer),
       budget(context.settings.vm_order_rate),
-      orders(std::make_shared<WorkLane>(context, kMaxConcurrentOrders)) {}
+      orders(std::make_shared<WorkQueue>(context, kMaxConcurrentOrders)) {}
 
 std::string VmDriver::WaveKey(std::uint64_t wave) { return kWavePrefix + std::to_string(wave); }
 
@@ -247,7 +247,7 @@
   }
 }
 
-void VmDriver::EnqueueOrder(WorkLane::Work order) {
+void VmDriver::EnqueueOrder(WorkQueue::Work order) {
   this->orders->Add([owner = this->owner.lock(), order = std::move(order)] { return order(); });
 }
 
--- a/src/job_entry/vm_driver.h
+++ b/src/job_entry/vm_driver.h
@@ -16,7 +16,7 @@
 #include "job_entry/owner_directory.h"
 #include "job_entry/owner_proof.h"
 #include "job_entry/pool_sizes_log.h"
-#include "job_entry/work_lane.h"
+#include "job_entry/work_queue.h"
 
 namespace chervilspar::job_entry {
 
@@ -64,7 +64,7 @@
   void ResizePools(bool may_order);
   boost::asio::awaitable<void> Move(VmId vm, ServiceId pool);
   /// Queues an order behind those before it.
-  void EnqueueOrder(WorkLane::Work order);
+  void EnqueueOrder(WorkQueue::Work order);
   /// Reads the list of VMs if the last one is old enough; false when the read fails. `first_order`:
   /// no order is sent before this time.
   boost::asio::awaitable<bool> ReadList(TimePoint first_order);
@@ -115,7 +115,7 @@
   jobs::PoolSizer sizer;
   PoolSizesLog sizes_log;
   jobs::VmOrderRateLimiter budget;
-  std::shared_ptr<WorkLane> orders;
+  std::shared_ptr<WorkQueue> orders;
 };
 
 }  // namespace chervilspar::job_entry
--- a/tests/job_entry/endpoint_registry_test.cc
+++ b/tests/job_entry/endpoint_registry_test.cc
@@ -65,11 +65,11 @@
 /// Guards against a registry that drops all endpoints after an outage of the store that exceeds the
 /// lifetime of registrations: nothing could be placed until they have registered again.
 TEST_F(RegistryTest, KeepsLapsedRegistrationsAfterAnOutage) {
-  this->entry.store->is_cut = true;
+  this->entry.store->is_disconnected = true;
   this->io.run_for(milliseconds(2500));
   this->Write("i0", std::nullopt);
   this->Write("i1", std::nullopt);
-  this->entry.store->is_cut = false;
+  this->entry.store->is_disconnected = false;
   this->io.run_for(milliseconds(1800));
   EXPECT_EQ(this->registry.Count(), 2U);
   this->Write("i1", "x");
--- a/tests/job_entry/fake_endpoints.cc
+++ b/tests/job_entry/fake_endpoints.cc
@@ -26,9 +26,9 @@
 }  // namespace
 
 void FakeEndpoints::Endpoint::Restart() {
-  const std::int64_t born = this->born_ms + 1;
+  const std::int64_t next_born_ms = this->born_ms + 1;
   *this = {};
-  this->born_ms = born;
+  this->born_ms = next_born_ms;
 }
 
 void FakeEndpoints::Confirm(const Endpoint& endpoint, const jobs::EndedRun& ended) {
@@ -36,13 +36,13 @@
     return;
   }
   const TimePoint ended_at = endpoint.ended_at.at(ended.number);
-  if (endpoint.lapsed > ended_at) {
+  if (endpoint.lapsed_at > ended_at) {
     return;
   }
   this->confirmed.insert(ended.task);
   if (this->last_start[ended.task] > ended_at) {
     this->violations.push_back(jobs::ToString(ended.task) +
-                               " has started after an end that was confirmed");
+                               " started after its end had been confirmed");
   }
 }
 
@@ -50,7 +50,7 @@
   const TimePoint now = Now();
   for (auto& [id, endpoint] : this->endpoints) {
     if (endpoint.lease_end < now) {
-      endpoint.lapsed = endpoint.lease_end;
+      endpoint.lapsed_at = endpoint.lease_end;
     }
     for (auto run = endpoint.active.begin(); run != endpoint.active.end();) {
       const bool is_done = run->second.ends <= now && run->second.ends <= run->second.lease_end;
@@ -74,8 +74,8 @@
                      [&](const auto& entry) { return entry.second.active.contains(task); });
 }
 
-asio::awaitable<void> FakeEndpointLink::Wait(Duration span) {
-  asio::steady_timer timer(this->all.io, span);
+asio::awaitable<void> FakeEndpointLink::Wait(Duration duration) {
+  asio::steady_timer timer(this->all.io, duration);
   boost::system::error_code ignored;
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
@@ -83,24 +83,24 @@
 asio::awaitable<FakeEndpoints::Endpoint*> FakeEndpointLink::Reach(const std::string& endpoint,
                                                                   Duration timeout) {
   FakeEndpoints::Endpoint& found = this->all.endpoints[endpoint];
-  if (this->is_cut || found.is_dark) {
+  if (this->is_disconnected || found.is_unreachable) {
     co_await this->Wait(timeout);
     co_return nullptr;
   }
   co_await this->Wait(this->delay + std::chrono::milliseconds(1));
   this->all.Advance();
-  co_return this->is_cut || found.is_dark ? nullptr : &found;
+  co_return this->is_disconnected || found.is_unreachable ? nullptr : &found;
 }
 
 asio::awaitable<RenewalOutcome> FakeEndpointLink::RenewLease(jobs::RenewalOrder order,
                                                              Duration timeout) {
   RenewalOutcome held;
-  const TimePoint give_up = Now() + order.wait;
+  const TimePoint deadline = Now() + order.wait;
   const std::int64_t born_ms = this->all.endpoints[order.endpoint].born_ms;
   FakeEndpoints::Endpoint* endpoint = co_await this->Reach(order.endpoint, timeout);
   while (endpoint != nullptr) {
     if (endpoint->born_ms != born_ms) {
-      co_return held;  // the process that was asked is gone
+      co_return held;  // the process that received the order is gone
     }
     if (order.token < endpoint->token) {
       held.outcome = OrderOutcome::kTokenTooLow;
@@ -114,7 +114,7 @@
       }
       return is_confirmed;
     });
-    // It speaks of ends that were told before it was sent, not of those that come while it waits.
+    // The order confirms ends reported before it was sent, not those that occur while it waits.
     order.confirmed_end = 0;
     if (order.lease_end_ms) {
       endpoint->lease_end = std::max(endpoint->lease_end, FromClock(*order.lease_end_ms));
@@ -124,7 +124,7 @@
         run.lease_end = std::max(run.lease_end, FromClock(*order.lease_end_ms));
       }
     }
-    if (!endpoint->ended.empty() || Now() >= give_up) {
+    if (!endpoint->ended.empty() || Now() >= deadline) {
       break;
     }
     co_await this->Wait(kStep);
@@ -166,12 +166,13 @@
     co_return OrderOutcome::kRunTooOld;
   }
   if (this->all.IsRunning(order.task)) {
-    this->all.violations.push_back(jobs::ToString(order.task) + " runs twice at once");
+    this->all.violations.push_back(jobs::ToString(order.task) + " runs twice concurrently");
   }
-  const bool is_over = this->all.is_unheard_end_forgiven ? this->all.confirmed.contains(order.task)
-                                                         : this->all.done.contains(order.task);
-  if (is_over) {
-    this->all.violations.push_back(jobs::ToString(order.task) + " starts after it has ended well");
+  const bool has_succeeded = this->all.may_rerun_after_unreported_end
+                                 ? this->all.confirmed.contains(order.task)
+                                 : this->all.done.contains(order.task);
+  if (has_succeeded) {
+    this->all.violations.push_back(jobs::ToString(order.task) + " starts after it has succeeded");
   }
   endpoint->last_run[order.task] = order.run;
   endpoint->active[order.task] = {order.run, Now() + this->all.task_time,
--- a/tests/job_entry/fake_fleet.cc
+++ b/tests/job_entry/fake_fleet.cc
@@ -70,8 +70,8 @@
   jobs::EndpointRecord record;
   record.id = std::string(key);
   record.service = ServiceId{"desk"};
-  const bool names_zone = value.starts_with(kZonePrefix);
-  record.zone = ZoneId{names_zone ? std::string(value.substr(kZonePrefix.size())) : "z"};
+  const bool has_zone = value.starts_with(kZonePrefix);
+  record.zone = ZoneId{has_zone ? std::string(value.substr(kZonePrefix.size())) : "z"};
   record.address = {"127.0.0.1", 2};
   record.born_ms = 1;
   record.capacity = {8000, 8000, 0};
@@ -90,7 +90,7 @@
       writer(std::make_shared<JobWriter>(this->context)),
       election(std::make_shared<Election>(this->context, this->operators, this->directory)) {}
 
-void FakeEntry::Carry(std::uint16_t port) {
+void FakeEntry::EnableCarrying(std::uint16_t port) {
   this->settings.carrier = SocketAddress{"127.0.0.1", port};
   this->settings.decisions.carriers.endpoints_per_core = 0;
   auto carried =
@@ -108,9 +108,9 @@
   this->election->Start();
 }
 
-void FakeEntry::Cut() {
-  this->store->is_cut = true;
-  this->endpoints->is_cut = true;
+void FakeEntry::Disconnect() {
+  this->store->is_disconnected = true;
+  this->endpoints->is_disconnected = true;
   if (this->exchange != nullptr) {
     this->exchange->Close();
   }
@@ -135,9 +135,9 @@
   return acceptor.local_endpoint().port();
 }
 
-void RunUntil(boost::asio::io_context& io, Duration longest, const std::function<bool()>& is_over) {
+void RunUntil(boost::asio::io_context& io, Duration timeout, const std::function<bool()>& is_over) {
   const SystemClock clock;
-  const TimePoint end = clock.Now() + longest;
+  const TimePoint end = clock.Now() + timeout;
   while (clock.Now() < end && !is_over()) {
     io.run_for(std::chrono::milliseconds(10));
   }
@@ -158,7 +158,7 @@
 FakeEntry& FakeFleet::AddCarrier(const std::string& name, std::uint16_t port) {
   this->entries.push_back(
       std::make_unique<FakeEntry>(this->io, this->store, this->endpoints, this->vms, name));
-  this->entries.back()->Carry(port);
+  this->entries.back()->EnableCarrying(port);
   this->entries.back()->Start();
   return *this->entries.back();
 }
--- a/tests/job_entry/slow_takeover_test.cc
+++ b/tests/job_entry/slow_takeover_test.cc
@@ -52,7 +52,7 @@
 /// Guards against leases that lapse while the jobs are read, so that all running tasks are started
 /// again at once.
 TEST_F(SlowTakeover, RunningTasksSurviveTheReadingOfTheJobs) {
-  this->owner.Cut();
+  this->owner.Disconnect();
   this->RunUntil(std::chrono::seconds(12), [this] { return IsServing(*this->successor); });
   ASSERT_TRUE(IsServing(*this->successor));
   this->io.run_for(milliseconds(1500));
@@ -64,11 +64,11 @@
 /// unresponsive during the read, after its leases were renewed, and its tasks must not start
 /// elsewhere before these lapse.
 TEST_F(SlowTakeover, TasksOfAnUnresponsiveEndpointWaitForTheRenewedLeases) {
-  this->owner.Cut();
+  this->owner.Disconnect();
   this->io.run_for(milliseconds(4000));
   ASSERT_FALSE(IsServing(*this->successor));
   for (auto& [id, endpoint] : this->fleet.endpoints.endpoints) {
-    endpoint.is_dark = true;
+    endpoint.is_unreachable = true;
     break;
   }
   this->RunUntil(std::chrono::seconds(16),
