--- a/bench/cost_experiment.cc
+++ b/bench/cost_experiment.cc
@@ -52,7 +52,7 @@
         shard(ServiceId{"s"}, EntryId{"entry-0"}, ZoneId{"a"}, Options()) {
     std::vector<scheduling::TeamShare> shares;
     for (std::uint32_t team = 0; team < teams; ++team) {
-      shares.push_back({Team(team), 1.0 + team % 5, scheduling::UrgentRight::kMayNot});
+      shares.push_back({Team(team), 1.0 + team % 5, scheduling::UrgentPermission::kDenied});
     }
     std::vector<load_balancing::Endpoint> endpoints;
     for (std::uint32_t worker = 0; worker < workers; ++worker) {
@@ -138,7 +138,7 @@
   static dispatch::ShardOptions Options() {
     dispatch::ShardOptions options;
     options.peer_timeout = std::chrono::hours(100);
-    options.admission.longest_wait = std::chrono::hours(100);
+    options.admission.max_wait = std::chrono::hours(100);
     return options;
   }
 
--- a/bench/simulation.cc
+++ b/bench/simulation.cc
@@ -77,7 +77,7 @@
   }
   std::vector<scheduling::TeamShare> shares;
   for (const TeamLoadSpec& team : this->scenario.teams) {
-    shares.push_back({TeamId{team.name}, team.share, scheduling::UrgentRight::kMay});
+    shares.push_back({TeamId{team.name}, team.share, scheduling::UrgentPermission::kAllowed});
   }
   for (std::uint32_t index = 0; index < this->scenario.entries; ++index) {
     EntryFake entry{EntryId{"entry-" + std::to_string(index)},
--- a/include/chervilspar/admission/admission_controller.h
+++ b/include/chervilspar/admission/admission_controller.h
@@ -25,7 +25,7 @@
   /// Longest predicted wait that is accepted, however late the deadline is. A caller that is
   /// told to come back is better off than one in a long queue, and a short queue follows a
   /// change in load quickly.
-  Duration longest_wait = std::chrono::seconds(5);
+  Duration max_wait = std::chrono::seconds(5);
   /// Part of the time to the deadline that a slow case may use up; the rest covers what predictions
   /// don't see, such as slots going to other entries.
   double deadline_part = 0.85;
@@ -49,7 +49,7 @@
   Duration wait_deviation = Duration::zero();
   /// Its run time, from measurements of like requests: the mean, and what 99 of 100 stay below.
   Duration run_time = Duration::zero();
-  Duration slow_run_time = Duration::zero();
+  Duration p99_run_time = Duration::zero();
   /// Measurements behind them.
   std::uint32_t run_time_samples = 0;
   /// Requests of all teams waiting in this shard.
--- a/include/chervilspar/load_balancing/balancer.h
+++ b/include/chervilspar/load_balancing/balancer.h
@@ -53,7 +53,7 @@
   /// Takes this entry's part among all entries. Slots of others may be borrowed while the fleet has
   /// room. When it is full, a slot that looks free in a report is one whose owner is about to fill
   /// it again, and taking it sends the owner on to take another's.
-  void SetParts(const std::vector<scheduling::EntryPart>& entries, const EntryId& self,
+  void SetParts(const std::vector<scheduling::EntryAllocation>& entries, const EntryId& self,
                 FleetLoad fleet_load, TimePoint now);
   /// Takes what the other entries report of their tasks and ejections.
   void SetPeers(const std::vector<const scheduling::ShardReport*>& reports, TimePoint now);
--- a/include/chervilspar/load_balancing/slot_split.h
+++ b/include/chervilspar/load_balancing/slot_split.h
@@ -20,7 +20,7 @@
 /// zones leave. Fractions are met on average by the balancer's credit.
 /// Takes time linear in endpoints and entries.
 std::vector<double> SplitSlots(const std::vector<Endpoint>& endpoints,
-                               const std::vector<scheduling::EntryPart>& entries,
+                               const std::vector<scheduling::EntryAllocation>& entries,
                                const EntryId& self);
 
 }  // namespace chervilspar::load_balancing
--- a/include/chervilspar/retry/retry_budget.h
+++ b/include/chervilspar/retry/retry_budget.h
@@ -13,7 +13,7 @@
  public:
   explicit RetryBudget(RetryOptions options) : options(options), saved(options.most_saved) {}
 
-  void OnFirstTry();
+  void OnFirstAttempt();
   /// Takes one repeated try, if there is one.
   bool TakeIfAvailable();
 
--- a/include/chervilspar/retry/retry_policy.h
+++ b/include/chervilspar/retry/retry_policy.h
@@ -18,13 +18,13 @@
   /// The try is the answer.
   kAnswer,
   /// Send it again, elsewhere if possible.
-  kTryAgain,
+  kRetry,
   /// Not run, and not to be tried again: refuse.
   kRefuse,
 };
 
 /// One ended try.
-struct Try {
+struct FinishedAttempt {
   admission::Idempotency idempotency = admission::Idempotency::kNotIdempotent;
   load_balancing::Outcome outcome = load_balancing::Outcome::kCompleted;
   /// Tries so far that may have run or found no endpoint, this one included.
@@ -33,13 +33,14 @@
   Duration left = Duration::zero();
   Duration expected_run_time = Duration::zero();
 
-  friend bool operator==(const Try&, const Try&) = default;
+  friend bool operator==(const FinishedAttempt&, const FinishedAttempt&) = default;
 };
 
 /// Never sends again what may have run and is not idempotent; never past the deadline; within the
 /// budget. An endpoint that was full, draining or too late did no work, so trying elsewhere costs
 /// no capacity and takes nothing from the budget; the balancer's pauses bound how often that
 /// happens.
-RetryDecision Decide(const Try& ended, const RetryOptions& options, RetryBudget& budget);
+RetryDecision Decide(const FinishedAttempt& ended, const RetryOptions& options,
+                     RetryBudget& budget);
 
 }  // namespace chervilspar::retry
--- a/include/chervilspar/scheduling/fair_queue.h
+++ b/include/chervilspar/scheduling/fair_queue.h
@@ -41,7 +41,7 @@
 enum class Lane { kUrgent, kShort, kLong };
 
 /// What the queue knows of one team here.
-struct TeamUse {
+struct TeamUsage {
   TeamId team;
   double share = 1.0;
   /// Slots that fleet-wide sharing gives it here.
@@ -55,7 +55,7 @@
   /// Held back by the quota gate when last asked.
   GateAnswer gate = GateAnswer::kMayStart;
 
-  friend bool operator==(const TeamUse&, const TeamUse&) = default;
+  friend bool operator==(const TeamUsage&, const TeamUsage&) = default;
 };
 
 /// Every operation on one ticket is O(log teams).
@@ -79,7 +79,7 @@
   void Push(const admission::Ticket& ticket, Duration expected, Lane lane);
   /// Puts back a started ticket to be tried again: it goes first, and its charge becomes `used`,
   /// which is zero when it was not run.
-  void PutBack(admission::TicketId id, Duration used);
+  void Requeue(admission::TicketId id, Duration used);
   /// Forgets a waiting ticket.
   std::optional<admission::Ticket> Remove(admission::TicketId id);
   /// Takes the next ticket for which gate and finder agree; it counts as running.
@@ -97,9 +97,9 @@
   std::size_t UrgentWaiting() const;
   std::size_t UrgentRunning() const { return this->urgent_running; }
   std::optional<TimePoint> OldestUrgent() const;
-  TeamUse Use(const TeamId& team) const;
+  TeamUsage Usage(const TeamId& team) const;
   /// Teams with anything waiting or running.
-  std::vector<TeamUse> ActiveTeams() const;
+  std::vector<TeamUsage> ActiveTeams() const;
   /// The expected run time of all that waits before a new ticket of this team and lane.
   Duration CostAhead(const TeamId& team, Lane lane) const;
   /// The last ticket of a lane.
--- a/include/chervilspar/scheduling/fleet_shares.h
+++ b/include/chervilspar/scheduling/fleet_shares.h
@@ -17,29 +17,29 @@
 namespace chervilspar::scheduling {
 
 /// A team's part of the slots; fractions are met on average over time.
-struct TeamPart {
+struct TeamAllocation {
   TeamId team;
   /// In the whole fleet.
   double slots = 0.0;
   /// At this entry.
   double local_slots = 0.0;
 
-  friend bool operator==(const TeamPart&, const TeamPart&) = default;
+  friend bool operator==(const TeamAllocation&, const TeamAllocation&) = default;
 };
 
 /// An entry's part of the slots.
-struct EntryPart {
+struct EntryAllocation {
   EntryId entry;
   ZoneId zone;
   double slots = 0.0;
 
-  friend bool operator==(const EntryPart&, const EntryPart&) = default;
+  friend bool operator==(const EntryAllocation&, const EntryAllocation&) = default;
 };
 
 struct Division {
-  std::vector<TeamPart> teams;
+  std::vector<TeamAllocation> teams;
   /// In the order of entry ids, this entry included; adds up to all slots.
-  std::vector<EntryPart> entries;
+  std::vector<EntryAllocation> entries;
   /// Slots that no demand fills.
   double idle_slots = 0.0;
   /// Slots that all demand together could fill.
@@ -54,7 +54,7 @@
 struct PeerReport {
   ZoneId zone;
   ShardReport report;
-  TimePoint made_at;
+  TimePoint created_at;
 
   friend bool operator==(const PeerReport&, const PeerReport&) = default;
 };
@@ -65,7 +65,7 @@
 
   void OnReport(const EntryId& peer, PeerReport report);
   /// Drops peers whose last report is older than `timeout`. Their slots would idle otherwise.
-  void DropSilent(TimePoint now, Duration timeout);
+  void RemoveStalePeers(TimePoint now, Duration timeout);
   const std::map<EntryId, PeerReport>& Peers() const { return this->peers; }
 
   /// `own` is this entry's use; `share_of` gives the share of teams seen only in reports.
--- a/include/chervilspar/scheduling/run_time_estimator.h
+++ b/include/chervilspar/scheduling/run_time_estimator.h
@@ -13,7 +13,7 @@
 struct RunTimeEstimate {
   Duration mean = Duration::zero();
   /// About the 99th percentile.
-  Duration slow = Duration::zero();
+  Duration p99 = Duration::zero();
   /// Like requests of the same team measured so far.
   std::uint32_t samples = 0;
 
@@ -32,7 +32,7 @@
   void Observe(const TeamId& team, Duration declared, Duration measured);
 
   /// The geometric mean of all run times, which a few long ones hardly move.
-  Duration Typical() const;
+  Duration GeometricMean() const;
 
  private:
   /// Moving mean and mean absolute deviation, in microseconds.
--- a/include/chervilspar/scheduling/scheduling_options.h
+++ b/include/chervilspar/scheduling/scheduling_options.h
@@ -31,10 +31,10 @@
   /// (250 ms), the checkpoint and the stop.
   Duration preempt_after = std::chrono::milliseconds(200);
   /// From asking for a checkpoint to stopping the task.
-  Duration checkpoint_time = std::chrono::milliseconds(300);
+  Duration checkpoint_timeout = std::chrono::milliseconds(300);
   /// Part of the slots that urgent work may hold before it competes like normal work, so that
   /// marking everything urgent starves no one.
-  double urgent_part = 0.5;
+  double urgent_fraction = 0.5;
 
   friend bool operator==(const SchedulingOptions&, const SchedulingOptions&) = default;
 };
--- a/include/chervilspar/scheduling/slot_finder.h
+++ b/include/chervilspar/scheduling/slot_finder.h
@@ -9,7 +9,7 @@
 enum class SlotAnswer {
   kFound,
   /// Not for this ticket; another one may fit.
-  kNotForThis,
+  kTicketDoesNotFit,
   /// For no ticket of this class.
   kNoneFree,
 };
--- a/include/chervilspar/scheduling/team_share.h
+++ b/include/chervilspar/scheduling/team_share.h
@@ -4,14 +4,14 @@
 
 namespace chervilspar::scheduling {
 
-enum class UrgentRight { kMayNot, kMay };
+enum class UrgentPermission { kDenied, kAllowed };
 
 /// A team as the scheduler sees it.
 struct TeamShare {
   TeamId team;
   /// Weight when everything is full; above zero.
   double share = 1.0;
-  UrgentRight urgent = UrgentRight::kMayNot;
+  UrgentPermission urgent = UrgentPermission::kDenied;
 
   friend bool operator==(const TeamShare&, const TeamShare&) = default;
 };
--- a/src/admission/admission_controller.cc
+++ b/src/admission/admission_controller.cc
@@ -54,11 +54,11 @@
     return std::nullopt;
   }
   const Duration slow_run =
-      tries_anyway ? std::min(prediction.slow_run_time, left / 2) : prediction.slow_run_time;
+      tries_anyway ? std::min(prediction.p99_run_time, left / 2) : prediction.p99_run_time;
   const Duration usable = Scale(left, this->options.deadline_part) - slow_run;
   const Duration slow_wait =
       prediction.wait + Scale(prediction.wait_deviation, this->options.slow_deviations);
-  if (slow_wait <= usable && prediction.wait <= this->options.longest_wait) {
+  if (slow_wait <= usable && prediction.wait <= this->options.max_wait) {
     return std::nullopt;
   }
   return Refusal{RefusalCode::kOverloaded, "the predicted wait is " + Milliseconds(prediction.wait),
--- a/src/dispatch/division.cc
+++ b/src/dispatch/division.cc
@@ -66,7 +66,7 @@
 
 std::vector<scheduling::TeamLoad> ServiceShard::State::OwnLoads() const {
   std::vector<scheduling::TeamLoad> loads;
-  for (const scheduling::TeamUse& use : this->queue.ActiveTeams()) {
+  for (const scheduling::TeamUsage& use : this->queue.ActiveTeams()) {
     // What its limit keeps from starting could not use a slot.
     const bool is_held = use.gate == scheduling::GateAnswer::kAtLimit;
     loads.push_back({use.team, use.running + (is_held ? 0 : use.waiting), use.running});
@@ -84,7 +84,7 @@
 void ServiceShard::State::Divide(TimePoint now) {
   this->divided_at = now;
   this->must_divide = false;
-  this->shares.DropSilent(now, this->options.peer_timeout);
+  this->shares.RemoveStalePeers(now, this->options.peer_timeout);
   std::vector<const scheduling::ShardReport*> reports;
   for (const auto& [peer, report] : this->shares.Peers()) {
     reports.push_back(&report.report);
@@ -100,14 +100,14 @@
   const auto loads = is_reported ? this->reported : this->OwnLoads();
   this->division = this->shares.Divide(loads, this->queue, slots, scope);
   if (this->options.balancer.placement == load_balancing::Placement::kFixedSplit) {
-    for (scheduling::EntryPart& entry : this->division.entries) {
+    for (scheduling::EntryAllocation& entry : this->division.entries) {
       entry.slots = slots / static_cast<double>(this->division.entries.size());
     }
   }
   this->balancer.SetParts(this->division.entries, this->self, this->Load(slots), now);
   this->part_of.clear();
   this->active_shares = 0.0;
-  for (const scheduling::TeamPart& part : this->division.teams) {
+  for (const scheduling::TeamAllocation& part : this->division.teams) {
     this->part_of.emplace(part.team, part);
     const auto team = this->queue.FindTeam(part.team);
     if (!team) {
@@ -149,7 +149,7 @@
 }
 
 void ServiceShard::State::SetUrgentAllowance() {
-  double allowance = this->options.scheduling.urgent_part * this->balancer.UsableSlots();
+  double allowance = this->options.scheduling.urgent_fraction * this->balancer.UsableSlots();
   for (const auto& [peer, report] : this->shares.Peers()) {
     allowance -= report.report.urgent_running;
   }
--- a/src/dispatch/giving_up.cc
+++ b/src/dispatch/giving_up.cc
@@ -42,7 +42,7 @@
       this->options.scheduling.order == scheduling::QueueOrder::kFifo) {
     return;
   }
-  for (const scheduling::TeamUse& use : this->queue.ActiveTeams()) {
+  for (const scheduling::TeamUsage& use : this->queue.ActiveTeams()) {
     const double slots = this->SlotsWithin(use.team);
     for (const auto lane : {scheduling::Lane::kShort, scheduling::Lane::kLong}) {
       while (const auto last = this->queue.LastWaiting(use.team, lane)) {
@@ -71,10 +71,10 @@
   if (outcome == load_balancing::Outcome::kStopped) {
     // Stopped for urgent work: it is no fault of the request, so the budget is not asked.
     const bool can_repeat = ticket.is_preempted && may_repeat && left > ticket.estimate.mean;
-    return can_repeat ? retry::RetryDecision::kTryAgain : retry::RetryDecision::kAnswer;
+    return can_repeat ? retry::RetryDecision::kRetry : retry::RetryDecision::kAnswer;
   }
-  const retry::Try ended{ticket.ticket.idempotency, outcome, ticket.tries, left,
-                         ticket.estimate.mean};
+  const retry::FinishedAttempt ended{ticket.ticket.idempotency, outcome, ticket.tries, left,
+                                     ticket.estimate.mean};
   return retry::Decide(ended, this->options.retry, this->budget);
 }
 
--- a/src/dispatch/prediction.cc
+++ b/src/dispatch/prediction.cc
@@ -22,7 +22,7 @@
 /// the slots.
 Duration WaitDeviation(Duration ahead, const scheduling::RunTimeEstimate& estimate, double slots) {
   const double mean = std::max(static_cast<double>(estimate.mean.count()), 1.0);
-  const double deviation = (static_cast<double>(estimate.slow.count()) - mean) / kDeviationsToSlow;
+  const double deviation = (static_cast<double>(estimate.p99.count()) - mean) / kDeviationsToSlow;
   const double requests = static_cast<double>(ahead.count()) / mean;
   return Duration(static_cast<Duration::rep>(std::sqrt(requests) * deviation / slots));
 }
@@ -57,7 +57,7 @@
     return scheduling::Lane::kUrgent;
   }
   const bool is_long = this->options.scheduling.long_lane == scheduling::LongLane::kOn &&
-                       estimate.mean > this->estimator.Typical() * kLongFactor;
+                       estimate.mean > this->estimator.GeometricMean() * kLongFactor;
   return is_long ? scheduling::Lane::kLong : scheduling::Lane::kShort;
 }
 
@@ -69,11 +69,11 @@
   // Room for a slow run, but not more than half of the caller's time: a caller with little time
   // is better served by a try that will probably do than by a refusal.
   const Duration half = (ticket.deadline - ticket.arrived) / 2;
-  return ticket.deadline - std::min(estimate.slow, half);
+  return ticket.deadline - std::min(estimate.p99, half);
 }
 
 double ServiceShard::State::SlotsWithin(const TeamId& team) const {
-  const scheduling::TeamUse use = this->queue.Use(team);
+  const scheduling::TeamUsage use = this->queue.Usage(team);
   const double all = this->balancer.UsableSlots();
   double fleet = this->division.idle_slots;
   double local_fraction = 1.0;
@@ -102,7 +102,7 @@
                                                    scheduling::Lane lane, TimePoint now) {
   admission::Prediction prediction;
   prediction.run_time = estimate.mean;
-  prediction.slow_run_time = estimate.slow;
+  prediction.p99_run_time = estimate.p99;
   prediction.run_time_samples = estimate.samples;
   prediction.waiting = this->queue.WaitingCount();
   prediction.endpoints = this->balancer.UsableEndpoints();
@@ -112,7 +112,7 @@
   }
   const Duration next_slot = estimate.mean;
   if (lane == scheduling::Lane::kUrgent) {
-    const double slots = this->options.scheduling.urgent_part * this->balancer.UsableSlots();
+    const double slots = this->options.scheduling.urgent_fraction * this->balancer.UsableSlots();
     prediction.wait = SpreadOver(ahead, std::max(slots, 1.0));
     return prediction;
   }
--- a/src/dispatch/preemption.cc
+++ b/src/dispatch/preemption.cc
@@ -51,7 +51,7 @@
   }
   const auto own = static_cast<double>(this->queue.RunningCount());
   for (const auto& [peer, report] : this->shares.Peers()) {
-    const Duration age = report.report.urgent_age + (now - report.made_at);
+    const Duration age = report.report.urgent_age + (now - report.created_at);
     if (report.report.urgent_waiting == 0 || age < after) {
       continue;
     }
@@ -87,7 +87,7 @@
     }
     ++asked;
     if (!ticket.is_stopped &&
-        now - ticket.preempted_at >= shard.options.scheduling.checkpoint_time) {
+        now - ticket.preempted_at >= shard.options.scheduling.checkpoint_timeout) {
       ticket.is_stopped = true;
       actions.push_back({id, ticket.endpoint, scheduling::PreemptKind::kStop});
       shard.balancer.HoldForUrgent(ticket.endpoint, now + kHoldAfterStop, now);
--- a/src/dispatch/service_shard.cc
+++ b/src/dispatch/service_shard.cc
@@ -70,7 +70,7 @@
     return {admission::Refusal{RefusalCode::kUnknownTeam, "the team is not configured", {}}};
   }
   const bool is_urgent = ticket.work_class == admission::WorkClass::kUrgent;
-  if (is_urgent && team->urgent == scheduling::UrgentRight::kMayNot) {
+  if (is_urgent && team->urgent == scheduling::UrgentPermission::kDenied) {
     return {admission::Refusal{
         RefusalCode::kUrgentNotAllowed, "the team may not mark requests as urgent", {}}};
   }
@@ -122,12 +122,12 @@
   known.endpoint = picked->endpoint;
   known.started = now;
   if (known.tries == 0) {
-    shard.budget.OnFirstTry();
+    shard.budget.OnFirstAttempt();
   }
   // Before run times are known, only the deadline says that an answer is overdue.
   const bool is_known = known.estimate.samples >= kSamplesToJudge;
   const TimePoint overdue_at =
-      is_known ? now + known.estimate.slow * kOverdueFactor : picked->ticket.deadline;
+      is_known ? now + known.estimate.p99 * kOverdueFactor : picked->ticket.deadline;
   shard.balancer.OnSent(picked->endpoint, picked->ticket, overdue_at, now);
   return Start{std::move(picked->ticket), std::move(picked->endpoint), picked->expected};
 }
@@ -152,8 +152,8 @@
   shard.ReviewIfDue(now, random);
   const Duration used = was_not_run ? Duration::zero() : measured;
   const retry::RetryDecision decision = shard.DecideRetry(known, outcome, now);
-  if (decision == retry::RetryDecision::kTryAgain) {
-    shard.queue.PutBack(ticket, used);
+  if (decision == retry::RetryDecision::kRetry) {
+    shard.queue.Requeue(ticket, used);
     shard.by_latest_start.emplace(known.latest_start, ticket);
     return {AfterTry::kWaitsAgain, std::nullopt};
   }
@@ -236,7 +236,7 @@
 }
 
 std::size_t ServiceShard::WaitingCount(const TeamId& team) const {
-  return this->state->queue.Use(team).waiting;
+  return this->state->queue.Usage(team).waiting;
 }
 
 }  // namespace chervilspar::dispatch
--- a/src/dispatch/service_shard_state.h
+++ b/src/dispatch/service_shard_state.h
@@ -106,7 +106,7 @@
   std::vector<admission::Ticket> doomed;
   std::vector<admission::Requirement> shapes;
   scheduling::Division division;
-  std::unordered_map<TeamId, scheduling::TeamPart> part_of;
+  std::unordered_map<TeamId, scheduling::TeamAllocation> part_of;
   double active_shares = 0.0;
   /// Running tasks whose slot was asked back.
   std::size_t preempting = 0;
--- a/src/entry/endpoint_view.cc
+++ b/src/entry/endpoint_view.cc
@@ -15,8 +15,8 @@
     const bool is_listed = is_open || std::find(service->teams.begin(), service->teams.end(), id) !=
                                           service->teams.end();
     if (is_listed) {
-      const auto urgent =
-          team.may_be_urgent ? scheduling::UrgentRight::kMay : scheduling::UrgentRight::kMayNot;
+      const auto urgent = team.may_be_urgent ? scheduling::UrgentPermission::kAllowed
+                                             : scheduling::UrgentPermission::kDenied;
       teams.push_back({id, team.share, urgent});
     }
   }
--- a/src/load_balancing/balancer.cc
+++ b/src/load_balancing/balancer.cc
@@ -60,8 +60,8 @@
          std::size_t{2} * this->ejecting_peers[index] <= this->peer_count;
 }
 
-void Balancer::SetParts(const std::vector<scheduling::EntryPart>& entries, const EntryId& self,
-                        FleetLoad fleet_load, TimePoint now) {
+void Balancer::SetParts(const std::vector<scheduling::EntryAllocation>& entries,
+                        const EntryId& self, FleetLoad fleet_load, TimePoint now) {
   this->UpdateCredit(now);
   this->fleet = fleet_load;
   std::vector<std::uint32_t> indexes;
@@ -169,7 +169,8 @@
   }
   const bool is_misfit = !this->table->AllFit(ticket.requirement) &&
                          this->policy->HasCandidate(*this->table, part_use);
-  return {is_misfit ? scheduling::SlotAnswer::kNotForThis : scheduling::SlotAnswer::kNoneFree, {}};
+  return {is_misfit ? scheduling::SlotAnswer::kTicketDoesNotFit : scheduling::SlotAnswer::kNoneFree,
+          {}};
 }
 
 std::optional<std::uint32_t> Balancer::DueProbe(const admission::Ticket& ticket,
--- a/src/load_balancing/slot_split.cc
+++ b/src/load_balancing/slot_split.cc
@@ -32,10 +32,11 @@
 };
 
 OwnStretches LayEntries(std::map<ZoneId, ZoneLine>& zones,
-                        const std::vector<scheduling::EntryPart>& entries, const EntryId& self) {
+                        const std::vector<scheduling::EntryAllocation>& entries,
+                        const EntryId& self) {
   OwnStretches own;
   double laid_outside = 0.0;
-  for (const scheduling::EntryPart& entry : entries) {
+  for (const scheduling::EntryAllocation& entry : entries) {
     ZoneLine& zone = zones[entry.zone];
     const double local = entry.slots * zone.LocalRate();
     const double outside = entry.slots - local;
@@ -56,14 +57,14 @@
 }  // namespace
 
 std::vector<double> SplitSlots(const std::vector<Endpoint>& endpoints,
-                               const std::vector<scheduling::EntryPart>& entries,
+                               const std::vector<scheduling::EntryAllocation>& entries,
                                const EntryId& self) {
   std::map<ZoneId, ZoneLine> zones;
   for (const Endpoint& endpoint : endpoints) {
     zones[endpoint.zone].slots += endpoint.slots;
   }
   ZoneId own_zone;
-  for (const scheduling::EntryPart& entry : entries) {
+  for (const scheduling::EntryAllocation& entry : entries) {
     zones[entry.zone].wanted += entry.slots;
     if (entry.entry == self) {
       own_zone = entry.zone;
--- a/src/retry/retry_budget.cc
+++ b/src/retry/retry_budget.cc
@@ -4,7 +4,7 @@
 
 namespace chervilspar::retry {
 
-void RetryBudget::OnFirstTry() {
+void RetryBudget::OnFirstAttempt() {
   this->saved = std::min(this->saved + this->options.part_of_first_tries, this->options.most_saved);
 }
 
--- a/src/retry/retry_policy.cc
+++ b/src/retry/retry_policy.cc
@@ -22,7 +22,8 @@
   return Verdict::kMayHaveRun;
 }
 
-RetryDecision Decide(const Try& ended, const RetryOptions& options, RetryBudget& budget) {
+RetryDecision Decide(const FinishedAttempt& ended, const RetryOptions& options,
+                     RetryBudget& budget) {
   if (ended.outcome == Outcome::kCompleted) {
     return RetryDecision::kAnswer;
   }
@@ -38,12 +39,12 @@
     return give_up;
   }
   if (was_not_run && ended.outcome != Outcome::kUnreachable) {
-    return RetryDecision::kTryAgain;
+    return RetryDecision::kRetry;
   }
   if (options.mode == BudgetMode::kBounded && ended.tries >= options.most_tries) {
     return give_up;
   }
-  return budget.TakeIfAvailable() ? RetryDecision::kTryAgain : give_up;
+  return budget.TakeIfAvailable() ? RetryDecision::kRetry : give_up;
 }
 
 }  // namespace chervilspar::retry
--- a/src/scheduling/fair_queue.cc
+++ b/src/scheduling/fair_queue.cc
@@ -115,7 +115,7 @@
   this->File(index);
 }
 
-void FairQueue::PutBack(admission::TicketId id, Duration used) {
+void FairQueue::Requeue(admission::TicketId id, Duration used) {
   const auto found = this->running.find(id);
   CHERVILSPAR_ASSERT(found != this->running.end());
   const Running entry = std::move(found->second);
--- a/src/scheduling/fair_queue_view.cc
+++ b/src/scheduling/fair_queue_view.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-TeamUse UseOf(const TeamQueue& queue) {
-  TeamUse use;
+TeamUsage UseOf(const TeamQueue& queue) {
+  TeamUsage use;
   use.team = queue.share.team;
   use.share = queue.share.share;
   use.weight = queue.weight;
@@ -37,7 +37,7 @@
   return this->urgent_by_arrival.begin()->first;
 }
 
-TeamUse FairQueue::Use(const TeamId& team) const {
+TeamUsage FairQueue::Usage(const TeamId& team) const {
   const auto found = this->index_of.find(team);
   if (found == this->index_of.end()) {
     return {};
@@ -45,12 +45,12 @@
   return UseOf(*this->teams[found->second]);
 }
 
-std::vector<TeamUse> FairQueue::ActiveTeams() const {
+std::vector<TeamUsage> FairQueue::ActiveTeams() const {
   // Most services of a large fleet are idle at most times, and their queues are asked all the same.
   if (this->RunningCount() == 0 && this->WaitingCount() == 0) {
     return {};
   }
-  std::vector<TeamUse> active;
+  std::vector<TeamUsage> active;
   for (const auto& queue : this->teams) {
     if (queue->running > 0 || queue->WaitingCount() > 0) {
       active.push_back(UseOf(*queue));
--- a/src/scheduling/fleet_shares.cc
+++ b/src/scheduling/fleet_shares.cc
@@ -49,8 +49,9 @@
   this->peers.insert_or_assign(peer, std::move(report));
 }
 
-void FleetShares::DropSilent(TimePoint now, Duration timeout) {
-  std::erase_if(this->peers, [&](const auto& peer) { return now - peer.second.made_at > timeout; });
+void FleetShares::RemoveStalePeers(TimePoint now, Duration timeout) {
+  std::erase_if(this->peers,
+                [&](const auto& peer) { return now - peer.second.created_at > timeout; });
 }
 
 Division FleetShares::Divide(const std::vector<TeamLoad>& own, const FairQueue& queue, double slots,
@@ -102,7 +103,9 @@
     division.entries.push_back({peer, report.zone, part});
   }
   std::sort(division.entries.begin(), division.entries.end(),
-            [](const EntryPart& left, const EntryPart& right) { return left.entry < right.entry; });
+            [](const EntryAllocation& left, const EntryAllocation& right) {
+              return left.entry < right.entry;
+            });
   return division;
 }
 
--- a/src/scheduling/run_time_estimator.cc
+++ b/src/scheduling/run_time_estimator.cc
@@ -57,8 +57,8 @@
     mean += part * (own.mean - mean);
     deviation += part * (own.deviation - deviation);
   }
-  const double slow = mean + kSlowDeviations * deviation;
-  return {Duration(static_cast<Duration::rep>(mean)), Duration(static_cast<Duration::rep>(slow)),
+  const double p99 = mean + kSlowDeviations * deviation;
+  return {Duration(static_cast<Duration::rep>(mean)), Duration(static_cast<Duration::rep>(p99)),
           samples};
 }
 
@@ -71,7 +71,7 @@
   this->log_mean += rate * (std::log(sample) - this->log_mean);
 }
 
-Duration RunTimeEstimator::Typical() const {
+Duration RunTimeEstimator::GeometricMean() const {
   if (this->log_samples == 0) {
     return Duration(static_cast<Duration::rep>(kFirstGuessUs));
   }
--- a/tests/admission/admission_controller_test.cc
+++ b/tests/admission/admission_controller_test.cc
@@ -31,7 +31,7 @@
   Prediction prediction;
   prediction.wait = wait;
   prediction.run_time = run;
-  prediction.slow_run_time = run * 3;
+  prediction.p99_run_time = run * 3;
   prediction.run_time_samples = samples;
   prediction.endpoints = 10;
   return prediction;
--- a/tests/dispatch/late_endpoints_test.cc
+++ b/tests/dispatch/late_endpoints_test.cc
@@ -16,7 +16,7 @@
   scheduling::OpenGate gate;
   ServiceShard shard(ServiceId{"booking"}, EntryId{"e1"}, ZoneId{"a"});
   TimePoint now{std::chrono::hours(5)};
-  shard.SetTeams({{TeamId{"t1"}, 1.0, scheduling::UrgentRight::kMayNot}}, now);
+  shard.SetTeams({{TeamId{"t1"}, 1.0, scheduling::UrgentPermission::kDenied}}, now);
   shard.SetEndpoints({}, now);
   admission::Ticket ticket;
   ticket.team = TeamId{"t1"};
--- a/tests/dispatch/service_shard_test.cc
+++ b/tests/dispatch/service_shard_test.cc
@@ -28,7 +28,7 @@
   std::vector<scheduling::TeamShare> teams;
   for (std::size_t index = 0; index < count; ++index) {
     const auto right =
-        index == 0 ? scheduling::UrgentRight::kMay : scheduling::UrgentRight::kMayNot;
+        index == 0 ? scheduling::UrgentPermission::kAllowed : scheduling::UrgentPermission::kDenied;
     teams.push_back({Team(index), 1.0 + static_cast<double>(index), right});
   }
   return teams;
--- a/tests/load_balancing/balancer_test.cc
+++ b/tests/load_balancing/balancer_test.cc
@@ -266,7 +266,7 @@
   EXPECT_EQ(bench.Send(demanding), VmId{"large"});
   demanding.id = {999};
   EXPECT_EQ(bench.balancer.Find(demanding, bench.now, bench.random).answer,
-            SlotAnswer::kNotForThis);
+            SlotAnswer::kTicketDoesNotFit);
   EXPECT_TRUE(bench.Send(bench.NextTicket()));
 }
 
--- a/tests/load_balancing/slot_split_test.cc
+++ b/tests/load_balancing/slot_split_test.cc
@@ -26,7 +26,7 @@
       *rc::gen::inRange<std::size_t>(1, 12), rc::gen::inRange<std::size_t>(0, 3));
   const std::vector<Endpoint> endpoints = EndpointsIn(zones);
   const auto count = *rc::gen::inRange<std::size_t>(1, 9);
-  std::vector<scheduling::EntryPart> entries;
+  std::vector<scheduling::EntryAllocation> entries;
   double total = 0.0;
   for (std::size_t entry = 0; entry < count; ++entry) {
     const double weight = *rc::gen::inRange(1, 100);
@@ -64,9 +64,10 @@
 TEST_P(ZoneSplitTest, LaysPartsInTheOwnZoneFirst) {
   const auto endpoints = EndpointsIn({0, 0, 1, 1, 2, 2});
   const double rest = (48.0 - GetParam().part_of_a) / 2;
-  const std::vector<scheduling::EntryPart> entries{{EntryId{"a"}, Zone(0), GetParam().part_of_a},
-                                                   {EntryId{"b"}, Zone(1), rest},
-                                                   {EntryId{"c"}, Zone(2), rest}};
+  const std::vector<scheduling::EntryAllocation> entries{
+      {EntryId{"a"}, Zone(0), GetParam().part_of_a},
+      {EntryId{"b"}, Zone(1), rest},
+      {EntryId{"c"}, Zone(2), rest}};
   const auto split = SplitSlots(endpoints, entries, EntryId{"a"});
   EXPECT_NEAR(split[0] + split[1], GetParam().local_expected, 1e-6);
 }
--- a/tests/retry/retry_policy_test.cc
+++ b/tests/retry/retry_policy_test.cc
@@ -17,7 +17,7 @@
 
 struct RetryCase {
   const char* name;
-  Try ended;
+  FinishedAttempt ended;
   RetryDecision expected;
 };
 
@@ -43,7 +43,7 @@
                               RetryDecision::kAnswer},
                     RetryCase{"LostIdempotent",
                               {kAny, Outcome::kLost, 1, seconds(9), milliseconds(1)},
-                              RetryDecision::kTryAgain},
+                              RetryDecision::kRetry},
                     RetryCase{"FailedNotIdempotent",
                               {kOnce, Outcome::kFailed, 1, seconds(9), milliseconds(1)},
                               RetryDecision::kAnswer},
@@ -52,10 +52,10 @@
                               RetryDecision::kAnswer},
                     RetryCase{"FullNotIdempotent",
                               {kOnce, Outcome::kFull, 0, seconds(9), milliseconds(1)},
-                              RetryDecision::kTryAgain},
+                              RetryDecision::kRetry},
                     RetryCase{"UnreachableNotIdempotent",
                               {kOnce, Outcome::kUnreachable, 1, seconds(9), milliseconds(1)},
-                              RetryDecision::kTryAgain},
+                              RetryDecision::kRetry},
                     RetryCase{"FullTooLate",
                               {kAny, Outcome::kFull, 0, milliseconds(5), milliseconds(50)},
                               RetryDecision::kRefuse},
@@ -75,7 +75,8 @@
   RetryOptions options;
   options.mode = mode;
   RetryBudget budget(options);
-  const Try ended{kOnce, outcome, *rc::gen::inRange(0u, 5u), seconds(9), milliseconds(1)};
+  const FinishedAttempt ended{kOnce, outcome, *rc::gen::inRange(0u, 5u), seconds(9),
+                              milliseconds(1)};
   const RetryDecision decision = Decide(ended, options, budget);
   if (VerdictOf(outcome) != Verdict::kNotRun) {
     RC_ASSERT(decision == RetryDecision::kAnswer);
@@ -94,10 +95,10 @@
     RetryBudget budget(options);
     int repeated = 0;
     for (int request = 0; request < 1000; ++request) {
-      budget.OnFirstTry();
+      budget.OnFirstAttempt();
       for (std::uint32_t tries = 1; tries <= 2; ++tries) {
-        const Try ended{kAny, Outcome::kFailed, tries, seconds(9), milliseconds(1)};
-        repeated += Decide(ended, options, budget) == RetryDecision::kTryAgain ? 1 : 0;
+        const FinishedAttempt ended{kAny, Outcome::kFailed, tries, seconds(9), milliseconds(1)};
+        repeated += Decide(ended, options, budget) == RetryDecision::kRetry ? 1 : 0;
       }
     }
     if (mode == BudgetMode::kBounded) {
--- a/tests/scheduling/fair_queue_test.cc
+++ b/tests/scheduling/fair_queue_test.cc
@@ -38,7 +38,7 @@
   FairQueue queue(options);
   std::vector<TeamShare> teams;
   for (std::size_t index = 0; index < shares.size(); ++index) {
-    teams.push_back({Team(index), shares[index], UrgentRight::kMay});
+    teams.push_back({Team(index), shares[index], UrgentPermission::kAllowed});
   }
   queue.SetTeams(teams);
   return queue;
@@ -163,7 +163,7 @@
         break;
       default:
         if (!running.empty()) {
-          queue.PutBack({running.back()}, Duration::zero());
+          queue.Requeue({running.back()}, Duration::zero());
           waiting[running.back()] = 0;
           running.pop_back();
         }
@@ -176,7 +176,7 @@
       running.push_back(picked->ticket.id.number);
     } else {
       for (std::size_t index = 0; index < kTeams; ++index) {
-        RC_ASSERT(gate.held.contains(Team(index)) || queue.Use(Team(index)).waiting == 0);
+        RC_ASSERT(gate.held.contains(Team(index)) || queue.Usage(Team(index)).waiting == 0);
       }
     }
     RC_ASSERT(queue.WaitingCount() == waiting.size());
--- a/tests/scheduling/fleet_shares_test.cc
+++ b/tests/scheduling/fleet_shares_test.cc
@@ -22,14 +22,14 @@
   FairQueue queue{SchedulingOptions{}};
   std::vector<TeamShare> teams;
   for (std::size_t index = 0; index < shares.size(); ++index) {
-    teams.push_back({Team(index), shares[index], UrgentRight::kMayNot});
+    teams.push_back({Team(index), shares[index], UrgentPermission::kDenied});
   }
   queue.SetTeams(teams);
   return queue;
 }
 
 double SlotsOf(const Division& division, const TeamId& team) {
-  for (const TeamPart& part : division.teams) {
+  for (const TeamAllocation& part : division.teams) {
     if (part.team == team) {
       return part.slots;
     }
@@ -104,7 +104,7 @@
   const FairQueue queue = QueueOf(team_shares);
   const auto divisions = DivideEverywhere(loads, queue, 80.0);
   double total = 0.0;
-  for (const EntryPart& part : divisions[0].entries) {
+  for (const EntryAllocation& part : divisions[0].entries) {
     total += part.slots;
   }
   RC_ASSERT(std::abs(total - 80.0) < 1e-6);
@@ -140,7 +140,7 @@
   shares.OnReport(Entry(1), {ZoneId{"b"}, report, kNow});
   const std::vector<TeamLoad> own{{Team(0), 100, 0}};
   EXPECT_NEAR(shares.Divide(own, queue, 60.0, ShareScope::kFleet).entries[0].slots, 30.0, 1e-6);
-  shares.DropSilent(kNow + std::chrono::seconds(4), std::chrono::seconds(3));
+  shares.RemoveStalePeers(kNow + std::chrono::seconds(4), std::chrono::seconds(3));
   EXPECT_NEAR(shares.Divide(own, queue, 60.0, ShareScope::kFleet).entries[0].slots, 60.0, 1e-6);
 }
 
@@ -164,10 +164,10 @@
     estimator.Observe(Team(0), declared(milliseconds(2000)), milliseconds(2000));
   }
   const auto quick = estimator.Expect(Team(0), declared(milliseconds(20)));
-  const auto slow = estimator.Expect(Team(0), declared(milliseconds(2000)));
+  const auto p99 = estimator.Expect(Team(0), declared(milliseconds(2000)));
   EXPECT_LT(quick.mean, milliseconds(60));
-  EXPECT_GT(slow.mean, milliseconds(1500));
-  EXPECT_LT(slow.mean, milliseconds(2500));
+  EXPECT_GT(p99.mean, milliseconds(1500));
+  EXPECT_LT(p99.mean, milliseconds(2500));
 }
 
 INSTANTIATE_TEST_SUITE_P(Factors, RunTimeEstimatorTest,
@@ -189,7 +189,7 @@
   for (int count = 0; count < 20; ++count) {
     estimator.Observe(Team(1), Duration::zero(), milliseconds(50));
   }
-  EXPECT_LT(estimator.Expect(Team(1), Duration::zero()).slow, milliseconds(100));
+  EXPECT_LT(estimator.Expect(Team(1), Duration::zero()).p99, milliseconds(100));
 }
 
 }  // namespace
