--- a/include/chervilspar/scheduling/fleet_shares.h
+++ b/include/chervilspar/scheduling/fleet_shares.h
@@ -10,24 +10,25 @@
 
 /// Divides the slots of a service over teams and entries.
 ///
-/// Load pattern: all load of one team lands on one entry. Without this module each entry is fair
-/// inside and gets as many slots as it can grab, so a team's part depends on which entries its
-/// callers reach. Here every entry computes, from the reports of all, the same weighted max-min
-/// division of slots over teams, and splits each team's part over entries by where its demand is.
+/// If each entry divided only the slots that it can get, a team's allocation would depend on which
+/// entries its callers reach, for instance when all load of one team arrives at one entry.
+/// Therefore each entry computes the same weighted max-min division of slots over teams from the
+/// reports of all entries, and splits each team's allocation over entries in proportion to its
+/// demand there.
 namespace chervilspar::scheduling {
 
-/// A team's part of the slots; fractions are met on average over time.
+/// The slots allocated to a team. Fractional slots are met on average over time.
 struct TeamAllocation {
   TeamId team;
-  /// In the whole fleet.
+  /// Slots in the whole fleet.
   double slots = 0.0;
-  /// At this entry.
+  /// Slots at this entry.
   double local_slots = 0.0;
 
   friend bool operator==(const TeamAllocation&, const TeamAllocation&) = default;
 };
 
-/// An entry's part of the slots.
+/// The slots allocated to an entry.
 struct EntryAllocation {
   EntryId entry;
   ZoneId zone;
@@ -36,21 +37,22 @@
   friend bool operator==(const EntryAllocation&, const EntryAllocation&) = default;
 };
 
+/// A division of all slots of a service over teams and entries.
 struct Division {
   std::vector<TeamAllocation> teams;
-  /// In the order of entry ids, this entry included; adds up to all slots.
+  /// Sorted by entry id, this entry included. The slots add up to all slots of the service.
   std::vector<EntryAllocation> entries;
-  /// Slots that no demand fills.
+  /// Slots that exceed the demand.
   double idle_slots = 0.0;
-  /// Slots that all demand together could fill.
+  /// Total demand of all teams, in slots.
   double demand = 0.0;
-  /// Slots for one unit of share among the teams that want more than they get.
+  /// Slots per unit of share among the teams whose demand exceeds their allocation.
   double slots_per_share = 0.0;
 
   friend bool operator==(const Division&, const Division&) = default;
 };
 
-/// A peer's last report, and when it was made on this entry's clock.
+/// A peer's last report. `created_at` is its creation time by this entry's clock.
 struct PeerReport {
   ZoneId zone;
   ShardReport report;
@@ -59,16 +61,20 @@
   friend bool operator==(const PeerReport&, const PeerReport&) = default;
 };
 
+/// Keeps the last reports of the peers and divides the slots of one service.
 class FleetShares {
  public:
   FleetShares(EntryId self, ZoneId zone) : self(std::move(self)), zone(std::move(zone)) {}
 
+  /// Replaces the last report of a peer.
   void OnReport(const EntryId& peer, PeerReport report);
-  /// Drops peers whose last report is older than `timeout`. Their slots would idle otherwise.
+  /// Removes peers whose last report is older than `timeout`. Otherwise their slots would stay
+  /// idle.
   void RemoveStalePeers(TimePoint now, Duration timeout);
   const std::map<EntryId, PeerReport>& Peers() const { return this->peers; }
 
-  /// `own` is this entry's use; `share_of` gives the share of teams seen only in reports.
+  /// Divides `slots` by the load `own` of this entry and the reports of its peers. `queue` provides
+  /// the share of each team; a team that it does not know has a share of 1.
   Division Divide(const std::vector<TeamLoad>& own, const FairQueue& queue, double slots,
                   ShareScope scope) const;
 
--- a/include/chervilspar/scheduling/preempt.h
+++ b/include/chervilspar/scheduling/preempt.h
@@ -5,10 +5,11 @@
 
 namespace chervilspar::scheduling {
 
-/// What to do with a running task so that its slot becomes free, mildest first.
+/// The action that frees the slot of a running task, least disruptive first.
 enum class PreemptKind { kCheckpoint, kThrottle, kStop };
 
-/// Asks the entry to act on a running task; only tasks that may safely run again are named.
+/// A request to the entry to preempt a running task. Only tasks that may safely run again are
+/// preempted.
 struct Preempt {
   admission::TicketId ticket;
   VmId endpoint;
--- a/include/chervilspar/scheduling/quota_gate.h
+++ b/include/chervilspar/scheduling/quota_gate.h
@@ -7,20 +7,20 @@
 
 enum class GateAnswer {
   kMayStart,
-  /// The team holds all the units of its limit that this entry has. The scheduler skips it and
-  /// asks again when a task of the team ends, on `OnLimitFreed`, or after a short time.
+  /// The team uses all units of its limit that this entry holds. The scheduler skips the team and
+  /// checks again when a task of the team ends, on `OnLimitFreed`, or after a short delay.
   kAtLimit,
 };
 
-/// Asked right before a task is started: may the team run one more?
+/// Decides, immediately before a task starts, whether the limit of its team permits one more.
 class QuotaGate {
  public:
   virtual ~QuotaGate() = default;
-  /// Has no side effect; the unit is taken by whoever starts the task.
+  /// Has no side effect: the caller that starts the task takes the unit.
   virtual GateAnswer MayStart(const TeamId& team, TimePoint now) = 0;
 };
 
-/// Lets everything through: for tests and for services without limits.
+/// Permits every start. Used in tests and for services without limits.
 class OpenGate final : public QuotaGate {
  public:
   GateAnswer MayStart(const TeamId&, TimePoint) override { return GateAnswer::kMayStart; }
--- a/include/chervilspar/scheduling/run_time_estimator.h
+++ b/include/chervilspar/scheduling/run_time_estimator.h
@@ -9,34 +9,37 @@
 
 namespace chervilspar::scheduling {
 
-/// What is expected of a request that has not run yet.
+/// The expected run time of a request that has not run yet.
 struct RunTimeEstimate {
   Duration mean = Duration::zero();
-  /// About the 99th percentile.
+  /// Approximate 99th percentile.
   Duration p99 = Duration::zero();
-  /// Like requests of the same team measured so far.
+  /// Number of measured requests of the same team and bucket.
   std::uint32_t samples = 0;
 
   friend bool operator==(const RunTimeEstimate&, const RunTimeEstimate&) = default;
 };
 
-/// Learns run times per team and order of magnitude of the declared run time.
+/// Estimates run times per team and order of magnitude of the declared run time.
 ///
-/// Load pattern: declared run times that are 10 to 100 times off either way. Without this module
-/// the queue is planned and charged by the caller's word, so a wrong word costs the other teams
-/// their share. Here the word only selects a bucket; a team that is wrong by the same factor every
-/// time is predicted as well as one that is right.
+/// Declared run times may be wrong by a factor of 10 to 100 in either direction. If the queue
+/// charged them directly, a wrong declaration would take share from the other teams. Here a
+/// declaration only selects a bucket of measurements, so a team whose declarations are always wrong
+/// by the same factor is predicted as well as one that declares correctly.
 class RunTimeEstimator {
  public:
+  /// Returns the estimate for a request; `declared` is zero if the caller declared no run time.
   RunTimeEstimate Expect(const TeamId& team, Duration declared) const;
+  /// Adds the measured run time of a finished request.
   void Observe(const TeamId& team, Duration declared, Duration measured);
 
-  /// The geometric mean of all run times, which a few long ones hardly move.
+  /// Returns a moving geometric mean of all run times, which a few long ones hardly affect. Returns
+  /// a default of 100 ms before the first measurement.
   Duration GeometricMean() const;
 
  private:
   /// Moving mean and mean absolute deviation, in microseconds.
-  struct Track {
+  struct MovingStatistics {
     double mean = 0.0;
     double deviation = 0.0;
     std::uint32_t samples = 0;
@@ -44,14 +47,15 @@
     void Add(double sample);
   };
 
-  /// Factor four wide, from below 4 ms to above 17 minutes; bucket 0 is "not declared".
+  /// Each bucket spans a factor of four, from below 2 ms to above 8 minutes. Bucket 0 is for
+  /// requests without a declared run time.
   static constexpr std::size_t kBuckets = 12;
   static std::size_t BucketOf(Duration declared);
 
-  Track service;
+  MovingStatistics service;
   double log_mean = 0.0;
   std::uint32_t log_samples = 0;
-  std::unordered_map<TeamId, std::array<Track, kBuckets>> teams;
+  std::unordered_map<TeamId, std::array<MovingStatistics, kBuckets>> teams;
 };
 
 }  // namespace chervilspar::scheduling
--- a/include/chervilspar/scheduling/slot_finder.h
+++ b/include/chervilspar/scheduling/slot_finder.h
@@ -8,13 +8,13 @@
 
 enum class SlotAnswer {
   kFound,
-  /// Not for this ticket; another one may fit.
+  /// No slot suits this ticket; one may suit another ticket.
   kTicketDoesNotFit,
-  /// For no ticket of this class.
+  /// No slot is free for any ticket of this work class.
   kNoneFree,
 };
 
-/// Where a ticket may run now.
+/// The endpoint at which a ticket may run now. `endpoint` is set only if a slot was found.
 struct Slot {
   SlotAnswer answer = SlotAnswer::kNoneFree;
   VmId endpoint;
@@ -22,7 +22,7 @@
   friend bool operator==(const Slot&, const Slot&) = default;
 };
 
-/// Asked by the fair queue for the ticket whose turn it is.
+/// Finds a slot for the ticket that the fair queue would start next.
 class SlotFinder {
  public:
   virtual ~SlotFinder() = default;
--- a/include/chervilspar/scheduling/team_share.h
+++ b/include/chervilspar/scheduling/team_share.h
@@ -4,12 +4,13 @@
 
 namespace chervilspar::scheduling {
 
+/// Whether a team may mark requests as urgent.
 enum class UrgentPermission { kDenied, kAllowed };
 
-/// A team as the scheduler sees it.
+/// The settings of a team that matter for scheduling.
 struct TeamShare {
   TeamId team;
-  /// Weight when everything is full; above zero.
+  /// Weight when all slots are taken; greater than zero.
   double share = 1.0;
   UrgentPermission urgent = UrgentPermission::kDenied;
 
--- a/src/scheduling/fair_queue.cc
+++ b/src/scheduling/fair_queue.cc
@@ -10,24 +10,26 @@
 
 namespace {
 
-/// A team at its limit is asked about again after this long even if nobody says that units came
-/// back, so that a lost message costs 50 ms and not a stuck queue.
-constexpr Duration kParkTime = std::chrono::milliseconds(50);
-/// Teams passed over in one call because their first request fits no free endpoint.
-constexpr int kMostMisfits = 8;
-/// Slot seconds for each slot of its part that an idle team may save up.
-constexpr double kSavedSeconds = 0.25;
-/// Most of an expected run time that is charged at the start; the rest is charged as it passes.
-/// Charged whole, one long task would keep its team's short ones waiting until the other teams have
-/// caught up, although it holds only one of the team's slots.
-constexpr Duration kChargedAhead = std::chrono::milliseconds(200);
+/// Delay after which the limit of a team is checked again even without a notification that units
+/// were returned, so that a lost message delays the queue by 50 ms but does not block it.
+constexpr Duration kLimitRecheckDelay = std::chrono::milliseconds(50);
+/// Maximum number of teams skipped in one call because their first request fits no free endpoint.
+constexpr int kMaxMisfits = 8;
+/// Virtual time that an idle team may save, in slot seconds per allocated slot.
+constexpr double kMaxSavedSeconds = 0.25;
+/// Maximum part of an expected run time that is charged at the start; the rest is charged as it
+/// elapses. If all were charged at the start, one long task would delay the short ones of its team
+/// until the other teams have caught up, although it uses only one of the team's slots.
+constexpr Duration kMaxInitialCharge = std::chrono::milliseconds(200);
 constexpr double kMicrosecondsPerSecond = 1e6;
-constexpr double kSmallestWeight = 1e-3;
+constexpr double kMinWeight = 1e-3;
 
-double Seconds(Duration span) { return static_cast<double>(span.count()) / kMicrosecondsPerSecond; }
+double Seconds(Duration duration) {
+  return static_cast<double>(duration.count()) / kMicrosecondsPerSecond;
+}
 
-double LaneSeconds(Lane lane, Duration span) {
-  return lane == Lane::kShort ? Seconds(span) / kShortLaneWeight : Seconds(span);
+double LaneSeconds(Lane lane, Duration duration) {
+  return lane == Lane::kShort ? Seconds(duration) / kShortLaneWeight : Seconds(duration);
 }
 
 }  // namespace
@@ -39,7 +41,7 @@
 
 std::vector<admission::Ticket> FairQueue::SetTeams(const std::vector<TeamShare>& shares) {
   for (const auto& queue : this->teams) {
-    queue->gone = true;
+    queue->is_removed = true;
   }
   for (const TeamShare& share : shares) {
     CHERVILSPAR_ASSERT(share.share > 0.0);
@@ -53,13 +55,13 @@
       queue.weight = share.share;
     }
     queue.share = share;
-    queue.gone = false;
+    queue.is_removed = false;
   }
   std::vector<admission::Ticket> orphans;
   for (const auto& queue : this->teams) {
     for (const LaneQueue& lane : queue->lanes) {
       for (const WaitingTicket& waiting : lane.tickets) {
-        if (queue->gone) {
+        if (queue->is_removed) {
           orphans.push_back(waiting.ticket);
         }
       }
@@ -73,14 +75,14 @@
 
 std::optional<TeamShare> FairQueue::FindTeam(const TeamId& team) const {
   const auto found = this->index_of.find(team);
-  if (found == this->index_of.end() || this->teams[found->second]->gone) {
+  if (found == this->index_of.end() || this->teams[found->second]->is_removed) {
     return std::nullopt;
   }
   return this->teams[found->second]->share;
 }
 
 void FairQueue::SetWeight(const TeamId& team, double weight) {
-  this->QueueOf(team).weight = std::max(weight, kSmallestWeight);
+  this->QueueOf(team).weight = std::max(weight, kMinWeight);
 }
 
 TeamQueue& FairQueue::QueueOf(const TeamId& team) {
@@ -92,27 +94,27 @@
 void FairQueue::Push(const admission::Ticket& ticket, Duration expected, Lane lane) {
   const auto found = this->index_of.find(ticket.team);
   CHERVILSPAR_ASSERT(found != this->index_of.end());
-  CHERVILSPAR_ASSERT(!this->places.contains(ticket.id) && !this->running.contains(ticket.id));
+  CHERVILSPAR_ASSERT(!this->locations.contains(ticket.id) && !this->running.contains(ticket.id));
   const Index index = found->second;
   TeamQueue& queue = *this->teams[index];
   const bool was_idle = queue.WaitingCount() == 0;
   LaneQueue& waiting = queue.At(lane);
   if (waiting.tickets.empty()) {
-    waiting.charged = std::max(waiting.charged, queue.lane_time);
+    waiting.charged = std::max(waiting.charged, queue.lane_virtual_time);
   }
   waiting.tickets.push_back({ticket, expected, this->next_sequence++});
   waiting.cost += expected;
-  this->places.emplace(ticket.id, Place{index, lane, std::prev(waiting.tickets.end())});
+  this->locations.emplace(ticket.id, Location{index, lane, std::prev(waiting.tickets.end())});
   if (lane == Lane::kUrgent) {
     this->urgent_by_arrival.emplace(ticket.arrived, ticket.id);
   }
-  this->Unfile(index);
+  this->MakeIdle(index);
   if (was_idle) {
-    // A team must not save up the time in which it asked for nothing, but for a little: requests
-    // of a small team come in clusters, and on average it still stays below its share.
-    queue.start = std::max(queue.start, this->virtual_time - kSavedSeconds);
+    // An idle team may save only a little virtual time. It may save some because requests of a
+    // small team arrive in clusters, while its average use stays below its share.
+    queue.start = std::max(queue.start, this->virtual_time - kMaxSavedSeconds);
   }
-  this->File(index);
+  this->MakeReady(index);
 }
 
 void FairQueue::Requeue(admission::TicketId id, Duration used) {
@@ -130,47 +132,47 @@
   queue.used += correction;
   lane.tickets.push_front(entry.waiting);
   lane.cost += entry.waiting.expected;
-  this->places.emplace(id, Place{entry.team, entry.lane, lane.tickets.begin()});
+  this->locations.emplace(id, Location{entry.team, entry.lane, lane.tickets.begin()});
   if (entry.lane == Lane::kUrgent) {
     this->urgent_by_arrival.emplace(entry.waiting.ticket.arrived, id);
   }
-  this->Unfile(entry.team);
-  this->File(entry.team);
+  this->MakeIdle(entry.team);
+  this->MakeReady(entry.team);
 }
 
 std::optional<admission::Ticket> FairQueue::Remove(admission::TicketId id) {
-  const auto found = this->places.find(id);
-  if (found == this->places.end()) {
+  const auto found = this->locations.find(id);
+  if (found == this->locations.end()) {
     return std::nullopt;
   }
-  const Place place = found->second;
-  this->places.erase(found);
-  this->Unfile(place.team);
-  LaneQueue& lane = this->teams[place.team]->At(place.lane);
-  const admission::Ticket ticket = place.position->ticket;
-  lane.cost -= place.position->expected;
-  lane.tickets.erase(place.position);
+  const Location location = found->second;
+  this->locations.erase(found);
+  this->MakeIdle(location.team);
+  LaneQueue& lane = this->teams[location.team]->At(location.lane);
+  const admission::Ticket ticket = location.position->ticket;
+  lane.cost -= location.position->expected;
+  lane.tickets.erase(location.position);
   this->urgent_by_arrival.erase({ticket.arrived, id});
-  this->File(place.team);
+  this->MakeReady(location.team);
   return ticket;
 }
 
-std::optional<Picked> FairQueue::Next(TimePoint now, QuotaGate& gate, SlotFinder& finder) {
+std::optional<Assignment> FairQueue::Next(TimePoint now, QuotaGate& gate, SlotFinder& finder) {
   this->UnparkDue(now);
   if (this->urgent_running < this->urgent_allowance) {
-    auto picked = this->NextOf(this->urgent_ready, Lane::kUrgent, now, gate, finder);
+    auto picked = this->NextFrom(this->urgent_ready, Lane::kUrgent, now, gate, finder);
     if (picked) {
       return picked;
     }
   }
-  return this->NextOf(this->ready, Lane::kShort, now, gate, finder);
+  return this->NextFrom(this->ready, Lane::kShort, now, gate, finder);
 }
 
-std::optional<Picked> FairQueue::NextOf(Order& order, Lane only, TimePoint now, QuotaGate& gate,
-                                        SlotFinder& finder) {
+std::optional<Assignment> FairQueue::NextFrom(Order& order, Lane requested, TimePoint now,
+                                              QuotaGate& gate, SlotFinder& finder) {
   int misfits = 0;
   auto candidate = order.begin();
-  while (candidate != order.end() && misfits < kMostMisfits) {
+  while (candidate != order.end() && misfits < kMaxMisfits) {
     const Index index = candidate->second;
     TeamQueue& queue = *this->teams[index];
     if (gate.MayStart(queue.share.team, now) == GateAnswer::kAtLimit) {
@@ -178,10 +180,10 @@
       this->Park(index, now);
       continue;
     }
-    const Lane lane = only == Lane::kUrgent ? only : this->LaneToServe(queue);
+    const Lane lane = requested == Lane::kUrgent ? requested : this->LaneToServe(queue);
     Slot slot = finder.Find(queue.At(lane).tickets.front().ticket, now);
     if (slot.answer == SlotAnswer::kFound) {
-      return this->Take(index, lane, std::move(slot.endpoint), now);
+      return this->Start(index, lane, std::move(slot.endpoint), now);
     }
     if (slot.answer == SlotAnswer::kNoneFree) {
       return std::nullopt;
@@ -193,40 +195,41 @@
 }
 
 Lane FairQueue::LaneToServe(const TeamQueue& queue) const {
-  const LaneQueue& quick = queue.At(Lane::kShort);
-  const LaneQueue& slow = queue.At(Lane::kLong);
-  if (quick.tickets.empty() && slow.tickets.empty()) {
+  const LaneQueue& short_lane = queue.At(Lane::kShort);
+  const LaneQueue& long_lane = queue.At(Lane::kLong);
+  if (short_lane.tickets.empty() && long_lane.tickets.empty()) {
     return Lane::kUrgent;
   }
-  if (quick.tickets.empty()) {
+  if (short_lane.tickets.empty()) {
     return Lane::kLong;
   }
-  if (slow.tickets.empty()) {
+  if (long_lane.tickets.empty()) {
     return Lane::kShort;
   }
-  return slow.charged < quick.charged ? Lane::kLong : Lane::kShort;
+  return long_lane.charged < short_lane.charged ? Lane::kLong : Lane::kShort;
 }
 
-Picked FairQueue::Take(Index index, Lane lane, VmId endpoint, TimePoint now) {
+Assignment FairQueue::Start(Index index, Lane lane, VmId endpoint, TimePoint now) {
   TeamQueue& queue = *this->teams[index];
-  this->Unfile(index);
+  this->MakeIdle(index);
   this->virtual_time = std::max(this->virtual_time, queue.start);
   LaneQueue& waiting = queue.At(lane);
   WaitingTicket taken = waiting.tickets.front();
   waiting.tickets.pop_front();
   waiting.cost -= taken.expected;
   const bool is_measured = this->options.cost == CostBasis::kMeasured;
-  const Duration charged = is_measured ? std::min(taken.expected, kChargedAhead) : taken.expected;
-  queue.lane_time = std::max(queue.lane_time, waiting.charged);
+  const Duration charged =
+      is_measured ? std::min(taken.expected, kMaxInitialCharge) : taken.expected;
+  queue.lane_virtual_time = std::max(queue.lane_virtual_time, waiting.charged);
   waiting.charged += LaneSeconds(lane, charged);
   queue.start += Seconds(charged) / queue.weight;
   queue.used += charged;
   ++queue.running;
   this->urgent_running += lane == Lane::kUrgent ? 1 : 0;
-  this->places.erase(taken.ticket.id);
+  this->locations.erase(taken.ticket.id);
   this->urgent_by_arrival.erase({taken.ticket.arrived, taken.ticket.id});
   this->running.emplace(taken.ticket.id, Running{index, taken, lane, now, charged});
-  this->File(index);
+  this->MakeReady(index);
   return {taken.ticket, std::move(endpoint), taken.expected};
 }
 
@@ -244,9 +247,9 @@
     queue.used += correction;
     this->Charge(entry.team, Seconds(correction));
   }
-  if (queue.filing == Filing::kParked) {
-    this->Unfile(entry.team);
-    this->File(entry.team);
+  if (queue.state == TeamState::kParked) {
+    this->MakeIdle(entry.team);
+    this->MakeReady(entry.team);
   }
 }
 
@@ -272,13 +275,13 @@
   if (found == this->index_of.end()) {
     return;
   }
-  if (this->teams[found->second]->filing == Filing::kParked) {
-    this->Unfile(found->second);
-    this->File(found->second);
+  if (this->teams[found->second]->state == TeamState::kParked) {
+    this->MakeIdle(found->second);
+    this->MakeReady(found->second);
   }
 }
 
-double FairQueue::KeyOf(const TeamQueue& queue) const {
+double FairQueue::OrderKey(const TeamQueue& queue) const {
   if (this->options.order == QueueOrder::kFairByTeam) {
     return queue.start;
   }
@@ -293,61 +296,61 @@
 
 void FairQueue::Charge(Index index, double seconds) {
   TeamQueue& queue = *this->teams[index];
-  const Filing filing = queue.filing;
-  if (filing == Filing::kReady) {
-    this->Unfile(index);
+  const TeamState state = queue.state;
+  if (state == TeamState::kReady) {
+    this->MakeIdle(index);
   }
   queue.start += seconds / queue.weight;
-  if (filing == Filing::kReady) {
-    this->File(index);
+  if (state == TeamState::kReady) {
+    this->MakeReady(index);
   }
 }
 
-void FairQueue::File(Index index) {
+void FairQueue::MakeReady(Index index) {
   TeamQueue& queue = *this->teams[index];
-  CHERVILSPAR_ASSERT(queue.filing == Filing::kIdle);
+  CHERVILSPAR_ASSERT(queue.state == TeamState::kIdle);
   const std::uint32_t waiting = queue.WaitingCount();
   if (waiting == 0) {
     return;
   }
   const bool has_urgent = !queue.At(Lane::kUrgent).tickets.empty();
-  queue.filed_key = this->KeyOf(queue);
-  queue.filing = Filing::kReady;
-  // Urgent requests stand in the normal order, too: beyond the part of the slots that urgent work
-  // may take first, they compete as normal ones.
-  this->ready.emplace(queue.filed_key, index);
+  queue.ready_key = this->OrderKey(queue);
+  queue.state = TeamState::kReady;
+  // Urgent requests are in the normal order, too: beyond the urgent allowance they compete like
+  // normal ones.
+  this->ready.emplace(queue.ready_key, index);
   if (has_urgent) {
-    this->urgent_ready.emplace(queue.filed_key, index);
+    this->urgent_ready.emplace(queue.ready_key, index);
   }
 }
 
-void FairQueue::Unfile(Index index) {
+void FairQueue::MakeIdle(Index index) {
   TeamQueue& queue = *this->teams[index];
-  if (queue.filing == Filing::kReady) {
-    this->ready.erase({queue.filed_key, index});
-    this->urgent_ready.erase({queue.filed_key, index});
+  if (queue.state == TeamState::kReady) {
+    this->ready.erase({queue.ready_key, index});
+    this->urgent_ready.erase({queue.ready_key, index});
   }
-  if (queue.filing == Filing::kParked) {
+  if (queue.state == TeamState::kParked) {
     this->parked.erase({queue.parked_until, index});
-    // What others used while the team stood at its limit is not owed to it.
+    // The team is not compensated for slot time that others used while it was at its limit.
     queue.start = std::max(queue.start, this->virtual_time);
   }
-  queue.filing = Filing::kIdle;
+  queue.state = TeamState::kIdle;
 }
 
 void FairQueue::Park(Index index, TimePoint now) {
-  this->Unfile(index);
+  this->MakeIdle(index);
   TeamQueue& queue = *this->teams[index];
-  queue.parked_until = now + kParkTime;
-  queue.filing = Filing::kParked;
+  queue.parked_until = now + kLimitRecheckDelay;
+  queue.state = TeamState::kParked;
   this->parked.emplace(queue.parked_until, index);
 }
 
 void FairQueue::UnparkDue(TimePoint now) {
   while (!this->parked.empty() && this->parked.begin()->first <= now) {
     const Index index = this->parked.begin()->second;
-    this->Unfile(index);
-    this->File(index);
+    this->MakeIdle(index);
+    this->MakeReady(index);
   }
 }
 
--- a/src/scheduling/fair_queue_view.cc
+++ b/src/scheduling/fair_queue_view.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-TeamUsage UseOf(const TeamQueue& queue) {
+TeamUsage UsageOf(const TeamQueue& queue) {
   TeamUsage use;
   use.team = queue.share.team;
   use.share = queue.share.share;
@@ -18,13 +18,13 @@
   use.running = queue.running;
   use.waiting_cost = queue.WaitingCost();
   use.used = queue.used;
-  use.gate = queue.filing == Filing::kParked ? GateAnswer::kAtLimit : GateAnswer::kMayStart;
+  use.gate = queue.state == TeamState::kParked ? GateAnswer::kAtLimit : GateAnswer::kMayStart;
   return use;
 }
 
 }  // namespace
 
-std::size_t FairQueue::WaitingCount() const { return this->places.size(); }
+std::size_t FairQueue::WaitingCount() const { return this->locations.size(); }
 
 std::size_t FairQueue::RunningCount() const { return this->running.size(); }
 
@@ -42,18 +42,18 @@
   if (found == this->index_of.end()) {
     return {};
   }
-  return UseOf(*this->teams[found->second]);
+  return UsageOf(*this->teams[found->second]);
 }
 
 std::vector<TeamUsage> FairQueue::ActiveTeams() const {
-  // Most services of a large fleet are idle at most times, and their queues are asked all the same.
+  // Most services of a large fleet are idle most of the time, but their queues are still queried.
   if (this->RunningCount() == 0 && this->WaitingCount() == 0) {
     return {};
   }
   std::vector<TeamUsage> active;
   for (const auto& queue : this->teams) {
     if (queue->running > 0 || queue->WaitingCount() > 0) {
-      active.push_back(UseOf(*queue));
+      active.push_back(UsageOf(*queue));
     }
   }
   return active;
@@ -71,7 +71,7 @@
   }
   const Lane other = lane == Lane::kShort ? Lane::kLong : Lane::kShort;
   const Duration own = queue.At(lane).cost;
-  // The lanes take turns by slot time and weight, so the other lane uses no more than its part.
+  // The lanes alternate by weighted slot time, so the other lane uses at most its weighted part.
   const Duration other_part =
       lane == Lane::kShort ? own / kShortLaneWeight : own * kShortLaneWeight;
   return urgent + own + std::min(other_part, queue.At(other).cost);
--- a/src/scheduling/fleet_shares.cc
+++ b/src/scheduling/fleet_shares.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A team's demand in the fleet, and here.
+/// A team's demand in the fleet and at this entry, and the slots allocated to it.
 struct Demand {
   TeamId team;
   double share = 1.0;
@@ -17,8 +17,8 @@
   double slots = 0.0;
 };
 
-/// Weighted max-min: teams that want less than their part get all that they want, and what they
-/// leave goes to the others by share. Returns the slots for one unit of share among the others.
+/// Weighted max-min fairness: teams that demand less than their share get all that they demand, and
+/// the rest goes to the others by share. Returns the slots per unit of share among the others.
 double FillByShare(std::vector<Demand>& demands, double slots) {
   std::sort(demands.begin(), demands.end(), [](const Demand& left, const Demand& right) {
     return std::pair(left.total / left.share, left.team) <
@@ -29,14 +29,14 @@
     shares_left += demand.share;
   }
   double slots_left = slots;
-  double level = 0.0;
+  double slots_per_share = 0.0;
   for (Demand& demand : demands) {
-    level = slots_left / shares_left;
-    demand.slots = std::min(demand.total, demand.share * level);
+    slots_per_share = slots_left / shares_left;
+    demand.slots = std::min(demand.total, demand.share * slots_per_share);
     slots_left -= demand.slots;
     shares_left -= demand.share;
   }
-  return level;
+  return slots_per_share;
 }
 
 double DemandOf(const TeamLoad& load, double slots) {
@@ -56,16 +56,16 @@
 
 Division FleetShares::Divide(const std::vector<TeamLoad>& own, const FairQueue& queue, double slots,
                              ShareScope scope) const {
-  std::unordered_map<TeamId, std::size_t> place_of;
+  std::unordered_map<TeamId, std::size_t> index_of;
   std::vector<Demand> demands;
   const auto add = [&](const TeamLoad& load, bool is_local) {
-    const auto [place, is_new] = place_of.try_emplace(load.team, demands.size());
+    const auto [found, is_new] = index_of.try_emplace(load.team, demands.size());
     if (is_new) {
       const auto share = queue.FindTeam(load.team);
       demands.push_back({load.team, share ? share->share : 1.0});
     }
-    demands[place->second].total += DemandOf(load, slots);
-    demands[place->second].local += is_local ? DemandOf(load, slots) : 0.0;
+    demands[found->second].total += DemandOf(load, slots);
+    demands[found->second].local += is_local ? DemandOf(load, slots) : 0.0;
   };
   for (const TeamLoad& load : own) {
     add(load, true);
@@ -95,12 +95,12 @@
   const double headroom = division.idle_slots / static_cast<double>(this->peers.size() + 1);
   division.entries.push_back({this->self, this->zone, local + headroom});
   for (const auto& [peer, report] : this->peers) {
-    double part = headroom;
+    double entry_slots = headroom;
     for (const TeamLoad& load : report.report.teams) {
       const auto rate = slots_per_demand.find(load.team);
-      part += rate == slots_per_demand.end() ? 0.0 : DemandOf(load, slots) * rate->second;
+      entry_slots += rate == slots_per_demand.end() ? 0.0 : DemandOf(load, slots) * rate->second;
     }
-    division.entries.push_back({peer, report.zone, part});
+    division.entries.push_back({peer, report.zone, entry_slots});
   }
   std::sort(division.entries.begin(), division.entries.end(),
             [](const EntryAllocation& left, const EntryAllocation& right) {
--- a/src/scheduling/run_time_estimator.cc
+++ b/src/scheduling/run_time_estimator.cc
@@ -8,23 +8,24 @@
 
 namespace {
 
-/// Before anything has been measured.
-constexpr double kFirstGuessUs = 100'000.0;
-/// A step change is followed to 63% after 32 requests, well under a second for a busy team, while
-/// one outlier moves the mean by 3%.
+/// Used until the first measurement, unless the caller declares a run time.
+constexpr double kDefaultRunTimeUs = 100'000.0;
+/// After a step change the mean covers 63% of it within 32 requests, which a busy team sends in
+/// well under a second, while one outlier moves the mean by 3% of its distance.
 constexpr double kSmoothing = 1.0 / 32.0;
-/// Samples of its own from which a bucket stands for itself; before, the whole service's mean
-/// counts as well. It must not count for longer: beside tasks of minutes, a hundredth of their mean
-/// is more than the whole of a request of milliseconds.
-constexpr double kOwnSamples = 8.0;
-/// For exponential run times the 99th percentile is 4.6 means, and the mean absolute deviation is
-/// 0.74 means: mean + 5 deviations. For equal run times it is the mean.
-constexpr double kSlowDeviations = 5.0;
-constexpr double kShortestUs = 1.0;
+/// Number of samples from which a bucket is used alone. With fewer, the mean of the whole service
+/// is mixed in. It must not be mixed in for longer: if other tasks run for minutes, even a
+/// hundredth of their mean exceeds the run time of a request of milliseconds.
+constexpr double kMinOwnSamples = 8.0;
+/// Mean absolute deviations from the mean to the 99th percentile. For exponential run times the
+/// 99th percentile is 4.6 means and the deviation is 0.74 means. For equal run times the deviation
+/// is zero.
+constexpr double kP99Deviations = 5.0;
+constexpr double kMinSampleUs = 1.0;
 
 }  // namespace
 
-void RunTimeEstimator::Track::Add(double sample) {
+void RunTimeEstimator::MovingStatistics::Add(double sample) {
   ++this->samples;
   const double rate = std::max(kSmoothing, 1.0 / this->samples);
   const double error = sample - this->mean;
@@ -42,8 +43,8 @@
 
 RunTimeEstimate RunTimeEstimator::Expect(const TeamId& team, Duration declared) const {
   if (this->service.samples == 0) {
-    const auto guess = Duration(static_cast<Duration::rep>(kFirstGuessUs));
-    const Duration first = declared > Duration::zero() ? declared : guess;
+    const auto default_run_time = Duration(static_cast<Duration::rep>(kDefaultRunTimeUs));
+    const Duration first = declared > Duration::zero() ? declared : default_run_time;
     return {first, first, 0};
   }
   double mean = this->service.mean;
@@ -51,19 +52,19 @@
   std::uint32_t samples = 0;
   const auto found = this->teams.find(team);
   if (found != this->teams.end()) {
-    const Track& own = found->second.at(BucketOf(declared));
+    const MovingStatistics& own = found->second.at(BucketOf(declared));
     samples = own.samples;
-    const double part = std::min(1.0, own.samples / kOwnSamples);
-    mean += part * (own.mean - mean);
-    deviation += part * (own.deviation - deviation);
+    const double own_weight = std::min(1.0, own.samples / kMinOwnSamples);
+    mean += own_weight * (own.mean - mean);
+    deviation += own_weight * (own.deviation - deviation);
   }
-  const double p99 = mean + kSlowDeviations * deviation;
+  const double p99 = mean + kP99Deviations * deviation;
   return {Duration(static_cast<Duration::rep>(mean)), Duration(static_cast<Duration::rep>(p99)),
           samples};
 }
 
 void RunTimeEstimator::Observe(const TeamId& team, Duration declared, Duration measured) {
-  const double sample = std::max(static_cast<double>(measured.count()), kShortestUs);
+  const double sample = std::max(static_cast<double>(measured.count()), kMinSampleUs);
   this->service.Add(sample);
   this->teams[team].at(BucketOf(declared)).Add(sample);
   ++this->log_samples;
@@ -73,7 +74,7 @@
 
 Duration RunTimeEstimator::GeometricMean() const {
   if (this->log_samples == 0) {
-    return Duration(static_cast<Duration::rep>(kFirstGuessUs));
+    return Duration(static_cast<Duration::rep>(kDefaultRunTimeUs));
   }
   return Duration(static_cast<Duration::rep>(std::exp(this->log_mean)));
 }
--- a/src/scheduling/team_queue.h
+++ b/src/scheduling/team_queue.h
@@ -11,9 +11,10 @@
 
 namespace chervilspar::scheduling {
 
-/// A ticket in its lane.
+/// A waiting ticket of a lane.
 struct WaitingTicket {
   admission::Ticket ticket;
+  /// Expected run time.
   Duration expected = Duration::zero();
   /// Order of arrival in the whole shard.
   std::uint64_t sequence = 0;
@@ -22,37 +23,38 @@
 /// One lane of a team, in order of arrival.
 struct LaneQueue {
   std::list<WaitingTicket> tickets;
+  /// Total expected run time of the tickets.
   Duration cost = Duration::zero();
-  /// Slot time charged to the lane, in seconds over its weight, to alternate lanes by time and not
-  /// by count.
+  /// Slot seconds charged to the lane, divided by its weight. The lanes alternate by this value
+  /// rather than by the number of requests.
   double charged = 0.0;
 };
 
-/// Slot time that the short lane gets for each one of the long lane while both wait. Short requests
-/// are the ones whose callers notice a second, and a fifth of the team's part still moves the long
-/// ones on.
+/// Ratio of slot time between the short and the long lane while both have waiting requests. Callers
+/// of short requests notice a delay of a second, and a fifth of the team's slot time still lets the
+/// long ones progress.
 inline constexpr int kShortLaneWeight = 4;
 
-/// Where the team's entry is kept.
-enum class Filing { kIdle, kReady, kParked };
+/// Whether a team has no waiting request (idle), may start one (ready) or is at its limit (parked).
+enum class TeamState { kIdle, kReady, kParked };
 
-/// All that the fair queue keeps of a team.
+/// The state that the fair queue keeps for a team.
 struct TeamQueue {
   TeamShare share;
   double weight = 1.0;
-  /// Virtual start time of its next request.
+  /// Virtual start time of the next request.
   double start = 0.0;
   std::array<LaneQueue, 3> lanes;
-  /// Virtual time between the lanes: what the lane served last had been charged before.
-  double lane_time = 0.0;
+  /// Virtual time of the lanes: the charge of the last served lane before that start.
+  double lane_virtual_time = 0.0;
   std::uint32_t running = 0;
   Duration used = Duration::zero();
-  Filing filing = Filing::kIdle;
-  /// The key under which it is filed as ready.
-  double filed_key = 0.0;
+  TeamState state = TeamState::kIdle;
+  /// The key under which the team is in the ready set.
+  double ready_key = 0.0;
   TimePoint parked_until;
-  /// No longer configured; kept while tasks run.
-  bool gone = false;
+  /// Whether the team was removed from the configuration. Its running tasks are still counted.
+  bool is_removed = false;
 
   LaneQueue& At(Lane lane) { return this->lanes.at(static_cast<std::size_t>(lane)); }
   const LaneQueue& At(Lane lane) const { return this->lanes.at(static_cast<std::size_t>(lane)); }
@@ -60,7 +62,7 @@
   Duration WaitingCost() const;
 };
 
-/// A started ticket that has not ended.
+/// A started ticket that has not finished.
 struct FairQueue::Running {
   Index team = 0;
   WaitingTicket waiting;
@@ -69,8 +71,8 @@
   Duration charged = Duration::zero();
 };
 
-/// Where a waiting ticket stands.
-struct FairQueue::Place {
+/// The queue position of a waiting ticket.
+struct FairQueue::Location {
   Index team = 0;
   Lane lane = Lane::kShort;
   std::list<WaitingTicket>::iterator position;
--- a/tests/scheduling/fair_queue_test.cc
+++ b/tests/scheduling/fair_queue_test.cc
@@ -14,7 +14,7 @@
 
 constexpr TimePoint kNow = TimePoint(std::chrono::seconds(100));
 
-/// A number of slots, all at one endpoint.
+/// Provides slots at one endpoint while `free` is above zero.
 class CountedSlots final : public SlotFinder {
  public:
   Slot Find(const Ticket&, TimePoint) override {
@@ -23,13 +23,13 @@
   int free = 1;
 };
 
-/// Holds back chosen teams.
-class ListGate final : public QuotaGate {
+/// Reports the teams of a list as being at their limit.
+class ListedTeamsGate final : public QuotaGate {
  public:
   GateAnswer MayStart(const TeamId& team, TimePoint) override {
-    return this->held.contains(team) ? GateAnswer::kAtLimit : GateAnswer::kMayStart;
+    return this->at_limit.contains(team) ? GateAnswer::kAtLimit : GateAnswer::kMayStart;
   }
-  std::set<TeamId> held;
+  std::set<TeamId> at_limit;
 };
 
 TeamId Team(std::size_t index) { return TeamId{"t" + std::to_string(index)}; }
@@ -53,8 +53,9 @@
   return ticket;
 }
 
-/// Runs one slot over queues that never empty and returns the time used by each team.
-std::vector<double> UseOneSlot(FairQueue& queue, const std::vector<Duration>& run_times,
+/// Runs one slot while every team always has waiting requests. Returns the slot time used by each
+/// team, in microseconds.
+std::vector<double> RunOneSlot(FairQueue& queue, const std::vector<Duration>& run_times,
                                const std::vector<Duration>& expected, int starts) {
   OpenGate gate;
   CountedSlots slots;
@@ -77,8 +78,8 @@
   return used;
 }
 
-// Teams with other shares and other run times are always backlogged. If the order went by counts or
-// by arrival, a team with long tasks would get many times its share.
+// All teams are always backlogged, with different shares and run times. If the order depended on
+// counts or arrival, a team with long tasks would get many times its share.
 RC_GTEST_PROP(FairQueueProperty, UseStaysWithinOneTaskOfTheShare, ()) {
   const auto count = *rc::gen::inRange<std::size_t>(2, 8);
   std::vector<double> shares;
@@ -88,7 +89,7 @@
     run_times.push_back(milliseconds(*rc::gen::inRange(1, 500)));
   }
   FairQueue queue = QueueOf(shares);
-  const auto used = UseOneSlot(queue, run_times, run_times, 2000);
+  const auto used = RunOneSlot(queue, run_times, run_times, 2000);
   for (std::size_t left = 0; left < count; ++left) {
     for (std::size_t right = 0; right < count; ++right) {
       // The bound of start-time fair queueing for two backlogged flows.
@@ -107,13 +108,13 @@
 
 class DeclaredCostTest : public testing::TestWithParam<CostCase> {};
 
-// One of two teams with equal shares declares a hundredth of its true run times. Charged by its
-// word, it would get nearly all of the slot.
-TEST_P(DeclaredCostTest, AWrongWordGainsNothing) {
+// One of two teams with equal shares declares a hundredth of its true run times. If it were charged
+// by its declarations, it would get nearly all of the slot.
+TEST_P(DeclaredCostTest, UnderdeclaredRunTimesGainNoShare) {
   SchedulingOptions options;
   options.cost = GetParam().cost;
   FairQueue queue = QueueOf({1.0, 1.0}, options);
-  const auto used = UseOneSlot(queue, {milliseconds(100), milliseconds(100)},
+  const auto used = RunOneSlot(queue, {milliseconds(100), milliseconds(100)},
                                {milliseconds(1), milliseconds(100)}, 1000);
   const double part = used[0] / (used[0] + used[1]);
   EXPECT_EQ(part < 0.51, GetParam().is_fair) << part;
@@ -124,12 +125,12 @@
                                          CostCase{"Declared", CostBasis::kDeclared, false}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// Whatever comes, goes and is held back: when the queue starts nothing although a slot is free, no
-// permitted team has anything waiting. Every ticket that was pushed leaves exactly once.
+// Under random operations: if the queue starts nothing although a slot is free, no permitted team
+// has a waiting request. Each pushed ticket leaves the queue exactly once.
 RC_GTEST_PROP(FairQueueProperty, ConservesWorkAndTickets, ()) {
   constexpr std::size_t kTeams = 4;
   FairQueue queue = QueueOf({1.0, 2.0, 3.0, 4.0});
-  ListGate gate;
+  ListedTeamsGate gate;
   CountedSlots slots;
   TimePoint now = kNow;
   std::uint64_t next = 1;
@@ -145,8 +146,8 @@
         waiting[next++] = team;
         break;
       case 2:
-        gate.held.contains(Team(team)) ? gate.held.erase(Team(team))
-                                       : gate.held.insert(Team(team)).second;
+        gate.at_limit.contains(Team(team)) ? gate.at_limit.erase(Team(team))
+                                           : gate.at_limit.insert(Team(team)).second;
         queue.OnLimitFreed(Team(team));
         break;
       case 3:
@@ -171,12 +172,12 @@
     now += milliseconds(1);
     const auto picked = queue.Next(now, gate, slots);
     if (picked) {
-      RC_ASSERT(!gate.held.contains(picked->ticket.team));
+      RC_ASSERT(!gate.at_limit.contains(picked->ticket.team));
       RC_ASSERT(waiting.erase(picked->ticket.id.number) == 1u);
       running.push_back(picked->ticket.id.number);
     } else {
       for (std::size_t index = 0; index < kTeams; ++index) {
-        RC_ASSERT(gate.held.contains(Team(index)) || queue.Usage(Team(index)).waiting == 0);
+        RC_ASSERT(gate.at_limit.contains(Team(index)) || queue.Usage(Team(index)).waiting == 0);
       }
     }
     RC_ASSERT(queue.WaitingCount() == waiting.size());
@@ -184,19 +185,19 @@
   }
 }
 
-// A team with a small share asks for one request while the others have endless queues. It must
-// start before the others have used a round of the share.
+// A team with a small share sends one request while the others are always backlogged. It must start
+// within a number of starts that is proportional to the share of the others.
 RC_GTEST_PROP(FairQueueProperty, StarvesNoTeam, ()) {
   const double others_share = *rc::gen::inRange(1, 100);
   FairQueue queue = QueueOf({1.0, others_share, others_share});
-  UseOneSlot(queue, {milliseconds(10), milliseconds(10), milliseconds(10)},
+  RunOneSlot(queue, {milliseconds(10), milliseconds(10), milliseconds(10)},
              {milliseconds(10), milliseconds(10), milliseconds(10)}, *rc::gen::inRange(0, 300));
   queue.Push(MakeTicket(1'000'000, 0), milliseconds(10), Lane::kShort);
   OpenGate gate;
   CountedSlots slots;
   std::uint64_t next = 2'000'000;
-  const int most = static_cast<int>(others_share) * 2 * 5 + 10;
-  for (int start = 0; start < most; ++start) {
+  const int max_starts = static_cast<int>(others_share) * 2 * 5 + 10;
+  for (int start = 0; start < max_starts; ++start) {
     const auto picked = queue.Next(kNow, gate, slots);
     queue.Finish(picked->ticket.id, milliseconds(10));
     if (picked->ticket.id.number == 1'000'000) {
@@ -210,8 +211,8 @@
   RC_FAIL("the request of the small team was not started");
 }
 
-// Urgent requests go before normal ones of all teams, but a team that marks everything as urgent
-// must not take more than the allowance that way.
+// Urgent requests start before the normal ones of all teams, but a team that marks everything as
+// urgent must not get more than the allowance that way.
 TEST(FairQueueTest, UrgentGoesFirstUpToTheAllowance) {
   FairQueue queue = QueueOf({1.0, 1.0});
   queue.SetUrgentAllowance(2);
@@ -223,14 +224,14 @@
   }
   EXPECT_LE(queue.Next(kNow, gate, slots)->ticket.id.number, 10u);
   EXPECT_LE(queue.Next(kNow, gate, slots)->ticket.id.number, 10u);
-  // The third goes to the team that has had nothing.
+  // The third slot goes to the team that has used none.
   EXPECT_GT(queue.Next(kNow, gate, slots)->ticket.id.number, 100u);
 }
 
-// All running tasks of a team take far longer than expected. Until the first one ends nothing is
-// measured, and the team would go on starting as if its tasks were short.
-TEST(FairQueueTest, ChargesTasksThatOutlastTheirExpectation) {
-  for (const bool charges : {true, false}) {
+// All running tasks of a team take far longer than expected. Nothing is measured until the first
+// one ends, so without additional charges the team would keep starting tasks as if they were short.
+TEST(FairQueueTest, ChargesTasksThatExceedTheirExpectedRunTime) {
+  for (const bool is_charged : {true, false}) {
     FairQueue queue = QueueOf({1.0, 1.0});
     OpenGate gate;
     CountedSlots slots;
@@ -240,18 +241,18 @@
     for (int start = 0; start < 4; ++start) {
       queue.Next(kNow, gate, slots);
     }
-    if (charges) {
+    if (is_charged) {
       queue.ChargeOverdue(kNow + std::chrono::seconds(5));
     }
     for (std::uint64_t number = 101; number <= 110; ++number) {
       queue.Push(MakeTicket(number, 1), milliseconds(100), Lane::kShort);
     }
-    int of_second = 0;
+    int second_team_starts = 0;
     for (int start = 0; start < 10; ++start) {
       const auto picked = queue.Next(kNow + std::chrono::seconds(5), gate, slots);
-      of_second += picked->ticket.team == Team(1) ? 1 : 0;
+      second_team_starts += picked->ticket.team == Team(1) ? 1 : 0;
     }
-    EXPECT_EQ(of_second == 10, charges);
+    EXPECT_EQ(second_team_starts == 10, is_charged);
   }
 }
 
--- a/tests/scheduling/fleet_shares_test.cc
+++ b/tests/scheduling/fleet_shares_test.cc
@@ -63,13 +63,13 @@
     Demands, DivideTest,
     testing::Values(DivideCase{"AllWantMore", {1, 2, 3}, {99, 99, 99}, {10, 20, 30}},
                     DivideCase{"OneWantsLittle", {1, 2, 3}, {99, 99, 5}, {55.0 / 3, 110.0 / 3, 5}},
-                    DivideCase{"RoomForAll", {1, 1, 1}, {10, 20, 5}, {10, 20, 5}},
+                    DivideCase{"EnoughForAll", {1, 1, 1}, {10, 20, 5}, {10, 20, 5}},
                     DivideCase{"OneAlone", {1, 1, 1}, {99, 0, 0}, {60, 0, 0}}),
     [](const auto& info) { return std::string(info.param.name); });
 
-/// What each entry computes when all have the same reports.
-std::vector<Division> DivideEverywhere(const std::vector<std::vector<TeamLoad>>& loads,
-                                       const FairQueue& queue, double slots) {
+/// Returns the division that each entry computes when all have the same reports.
+std::vector<Division> DivideAtEachEntry(const std::vector<std::vector<TeamLoad>>& loads,
+                                        const FairQueue& queue, double slots) {
   std::vector<Division> divisions;
   for (std::size_t self = 0; self < loads.size(); ++self) {
     FleetShares shares(Entry(self), ZoneId{"a"});
@@ -85,8 +85,8 @@
   return divisions;
 }
 
-// All entries send to the same slots without asking anybody. If their divisions differed, slots
-// would be claimed twice or by no one.
+// All entries send to the same slots without coordination. If their divisions differed, some slots
+// would be claimed twice and others not at all.
 RC_GTEST_PROP(FleetSharesProperty, EntriesAgreeAndUseEverySlot, ()) {
   const auto entries = *rc::gen::inRange<std::size_t>(1, 9);
   const auto teams = *rc::gen::inRange<std::size_t>(1, 7);
@@ -102,7 +102,7 @@
     }
   }
   const FairQueue queue = QueueOf(team_shares);
-  const auto divisions = DivideEverywhere(loads, queue, 80.0);
+  const auto divisions = DivideAtEachEntry(loads, queue, 80.0);
   double total = 0.0;
   for (const EntryAllocation& part : divisions[0].entries) {
     total += part.slots;
@@ -117,22 +117,23 @@
   }
 }
 
-// All callers of the team with the larger share reach one entry, those of the other team all of the
-// others. Shared by entry, the large team would get a third of what it is due.
-TEST(FleetSharesTest, ATeamOnOneEntryKeepsItsShare) {
+// All callers of the team with the larger share reach one entry, and those of the other team reach
+// the other entries. If slots were divided per entry, the larger team would get a third of its
+// share.
+TEST(FleetSharesTest, TeamAtOneEntryKeepsItsShare) {
   const FairQueue queue = QueueOf({2.0, 1.0});
   std::vector<std::vector<TeamLoad>> loads{{{Team(0), 500, 0}}};
   for (int entry = 1; entry < 6; ++entry) {
     loads.push_back({{Team(1), 500, 0}});
   }
-  const auto divisions = DivideEverywhere(loads, queue, 60.0);
+  const auto divisions = DivideAtEachEntry(loads, queue, 60.0);
   EXPECT_NEAR(divisions[0].entries[0].slots, 40.0, 1e-6);
   EXPECT_NEAR(divisions[3].teams[0].local_slots + divisions[3].teams[1].local_slots, 4.0, 1e-6);
 }
 
-// A peer dies or is cut off. Its slots would stay idle for ever if its last report went on
-// counting.
-TEST(FleetSharesTest, ASilentPeerLosesItsPart) {
+// A peer crashes or is disconnected. If its last report stayed in effect, its slots would remain
+// idle forever.
+TEST(FleetSharesTest, StalePeerLosesItsSlots) {
   const FairQueue queue = QueueOf({1.0});
   FleetShares shares(Entry(0), ZoneId{"a"});
   ShardReport report;
@@ -151,9 +152,9 @@
 
 class RunTimeEstimatorTest : public testing::TestWithParam<DeclarationCase> {};
 
-// A team declares its run times wrong by the same factor every time. Planned by its word, waits
-// would be predicted wrong by that factor, too.
-TEST_P(RunTimeEstimatorTest, LearnsWhatADeclarationIsWorth) {
+// A team declares run times that are always wrong by the same factor. If estimates used the
+// declared values, predicted waits would be wrong by that factor, too.
+TEST_P(RunTimeEstimatorTest, EstimatesFromMeasuredRunTimes) {
   RunTimeEstimator estimator;
   const auto declared = [](Duration true_time) {
     return Duration(
@@ -163,11 +164,11 @@
     estimator.Observe(Team(0), declared(milliseconds(20)), milliseconds(20));
     estimator.Observe(Team(0), declared(milliseconds(2000)), milliseconds(2000));
   }
-  const auto quick = estimator.Expect(Team(0), declared(milliseconds(20)));
-  const auto p99 = estimator.Expect(Team(0), declared(milliseconds(2000)));
-  EXPECT_LT(quick.mean, milliseconds(60));
-  EXPECT_GT(p99.mean, milliseconds(1500));
-  EXPECT_LT(p99.mean, milliseconds(2500));
+  const auto short_run = estimator.Expect(Team(0), declared(milliseconds(20)));
+  const auto long_run = estimator.Expect(Team(0), declared(milliseconds(2000)));
+  EXPECT_LT(short_run.mean, milliseconds(60));
+  EXPECT_GT(long_run.mean, milliseconds(1500));
+  EXPECT_LT(long_run.mean, milliseconds(2500));
 }
 
 INSTANTIATE_TEST_SUITE_P(Factors, RunTimeEstimatorTest,
@@ -178,10 +179,10 @@
                                          DeclarationCase{"HundredTimes", 100.0}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// A team sends requests of milliseconds to a service whose other teams run tasks of minutes. Had it
-// a small part of their mean in its own, its requests would be planned as if they ran for seconds,
-// and be refused.
-TEST(RunTimeEstimatorPriorTest, ATeamOfShortTasksIsNotPlannedByItsNeighbours) {
+// A team sends requests of milliseconds to a service whose other teams run tasks of minutes. If its
+// estimate included even a small part of their mean, its requests would be expected to run for
+// seconds and be refused.
+TEST(RunTimeEstimatorPriorTest, LongTasksOfOtherTeamsDontRaiseTheEstimate) {
   RunTimeEstimator estimator;
   for (int count = 0; count < 100; ++count) {
     estimator.Observe(Team(0), Duration::zero(), std::chrono::minutes(5));
