--- a/include/chervilspar/admission/ticket.h
+++ b/include/chervilspar/admission/ticket.h
@@ -9,8 +9,8 @@
 
 namespace chervilspar::admission {
 
-/// Names one accepted request inside one shard; chosen by the caller of the shard, never reused
-/// while the request is known to it.
+/// Identifies one accepted request within a shard. The caller of the shard assigns it and does not
+/// reuse it while the shard knows the request.
 struct TicketId {
   std::uint64_t number = 0;
 
@@ -19,14 +19,14 @@
 
 enum class WorkClass {
   kNormal,
-  /// Starts before normal work and within a bounded time, also when every slot is taken.
+  /// Starts before normal work and within a bounded time, even if all slots are taken.
   kUrgent,
 };
 
-/// Whether running the request twice does no harm.
+/// Whether a request may safely run twice.
 enum class Idempotency { kNotIdempotent, kIdempotent };
 
-/// What a request needs of the VM that runs it.
+/// Resources that a request needs on the VM that runs it.
 struct Requirement {
   std::uint32_t cores = 0;
   std::uint32_t memory_mb = 0;
@@ -35,7 +35,7 @@
   friend bool operator==(const Requirement&, const Requirement&) = default;
 };
 
-/// All that the decisions need to know of a request.
+/// The attributes of a request on which admission, scheduling and retries depend.
 struct Ticket {
   TicketId id;
   TeamId team;
@@ -43,8 +43,8 @@
   Idempotency idempotency = Idempotency::kNotIdempotent;
   TimePoint arrived;
   TimePoint deadline;
-  /// The caller's own word on the run time, zero when it gave none. It may be wrong by a factor of
-  /// 100 either way, so it only selects which measurements are used.
+  /// The run time that the caller declares, zero if it declares none. It may be wrong by a factor
+  /// of 100 in either direction, so it only selects which measurements are used.
   Duration declared_run_time = Duration::zero();
   Requirement requirement;
 
--- a/tests/admission/admission_controller_test.cc
+++ b/tests/admission/admission_controller_test.cc
@@ -37,25 +37,25 @@
   return prediction;
 }
 
-Prediction Spread(Prediction prediction, Duration deviation) {
+Prediction WithWaitDeviation(Prediction prediction, Duration deviation) {
   prediction.wait_deviation = deviation;
   return prediction;
 }
 
 Prediction NoEndpoints() { return {}; }
 
-Prediction Full() {
+Prediction FullQueue() {
   Prediction prediction = Predicted(seconds(0), milliseconds(10));
-  prediction.waiting = AdmissionOptions{}.most_waiting;
+  prediction.waiting = AdmissionOptions{}.max_waiting;
   return prediction;
 }
 
 class DecideTest : public testing::TestWithParam<DecideCase> {};
 
-// A burst asks more than the pool can run. If the request is taken although its answer will come
-// too late, the caller waits for nothing and the endpoint works for nobody.
-TEST_P(DecideTest, RefusesAtOnceWhatWouldComeTooLate) {
-  // The seed is one whose first number lets no hopeless request through for measurement.
+// A burst exceeds the capacity of the pool. If a request is accepted although its response will
+// miss the deadline, the caller waits in vain and the endpoint does useless work.
+TEST_P(DecideTest, RefusesRequestsThatWouldMissTheDeadline) {
+  // With this seed the first random number accepts no request as a probe.
   SeededRandom random(3);
   const AdmissionController controller{AdmissionOptions{}};
   const auto refusal =
@@ -75,21 +75,21 @@
                    RefusalCode::kOverloaded},
         DecideCase{"WaitThatLeavesNoTimeToRun", seconds(3),
                    Predicted(milliseconds(2500), milliseconds(200)), RefusalCode::kOverloaded},
-        DecideCase{"WaitThatIsVeryUncertain", seconds(3),
-                   Spread(Predicted(seconds(1), milliseconds(100)), seconds(1)),
+        DecideCase{"WaitWithHighVariance", seconds(3),
+                   WithWaitDeviation(Predicted(seconds(1), milliseconds(100)), seconds(1)),
                    RefusalCode::kOverloaded},
-        DecideCase{"LongestWait", seconds(60), Predicted(seconds(6), milliseconds(100)),
+        DecideCase{"MaxWait", seconds(60), Predicted(seconds(6), milliseconds(100)),
                    RefusalCode::kOverloaded},
         DecideCase{"RunsPastDeadline", seconds(1), Predicted(seconds(0), seconds(2)),
                    RefusalCode::kDeadlineUnreachable},
-        DecideCase{"RunTimeHardlyMeasured", seconds(1), Predicted(seconds(0), seconds(2), 2), {}},
+        DecideCase{"FewRunTimeSamples", seconds(1), Predicted(seconds(0), seconds(2), 2), {}},
         DecideCase{"NoEndpoint", seconds(1), NoEndpoints(), RefusalCode::kNoEndpoint},
-        DecideCase{"MemoryBound", seconds(1), Full(), RefusalCode::kOverloaded}),
+        DecideCase{"MemoryBound", seconds(1), FullQueue(), RefusalCode::kOverloaded}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// Run times were long for a while, and every request with an ordinary deadline was refused for it.
-// What is refused is not measured, so without an exception the refusals would never end.
-TEST(AdmissionControllerTest, LetsSomeRequestsThroughToMeasureAgain) {
+// Run times were long for a while, so all requests with an ordinary deadline are refused. Refused
+// requests are not measured, so without probes the refusals would never end.
+TEST(AdmissionControllerTest, AcceptsSomeRequestsAsProbes) {
   SeededRandom random(1);
   const AdmissionController controller{AdmissionOptions{}};
   int accepted = 0;
@@ -102,20 +102,20 @@
   EXPECT_LT(accepted, 100);
 }
 
-// Callers that were refused in one second are told the same time to come back, and come back
-// together: the next second is overloaded again.
-RC_GTEST_PROP(AdmissionControllerProperty, RetryAfterIsHonestAndSpread, ()) {
+// If callers that are refused in the same second get the same retry time, they all retry together
+// and overload a later second.
+RC_GTEST_PROP(AdmissionControllerProperty, RetryAfterCoversTheWaitAndIsSpread, ()) {
   const auto wait = milliseconds(*rc::gen::inRange(0, 100'000));
   SeededRandom random(*rc::gen::arbitrary<std::uint64_t>());
   const AdmissionOptions options;
   const AdmissionController controller(options);
   std::set<Duration> seen;
-  const Duration least =
-      std::clamp<Duration>(wait, options.shortest_retry_after, options.longest_retry_after);
+  const Duration min_delay =
+      std::clamp<Duration>(wait, options.min_retry_after, options.max_retry_after);
   for (int count = 0; count < 100; ++count) {
     const Duration after = controller.RetryAfter(wait, random);
-    RC_ASSERT(after >= least);
-    RC_ASSERT(after <= least * 3 / 2);
+    RC_ASSERT(after >= min_delay);
+    RC_ASSERT(after <= min_delay * 3 / 2);
     seen.insert(after / 10'000);
   }
   RC_ASSERT(seen.size() > 20u);
