--- a/include/chervilspar/retry/retry_budget.h
+++ b/include/chervilspar/retry/retry_budget.h
@@ -4,22 +4,23 @@
 
 namespace chervilspar::retry {
 
-/// Bounds repeated tries by a part of the first ones.
+/// Limits retries to a fraction of the first attempts.
 ///
-/// Load pattern: an endpoint or the network fails part of all tries, or everything is slow. Without
-/// this module each failure makes another try, tries multiply just when there is no room, and the
-/// overload outlasts its cause.
+/// When an endpoint or the network fails some attempts, or everything is slow, unlimited retries
+/// multiply the load just when there is no free capacity, and the overload outlasts its cause.
 class RetryBudget {
  public:
-  explicit RetryBudget(RetryOptions options) : options(options), saved(options.most_saved) {}
+  explicit RetryBudget(RetryOptions options)
+      : options(options), saved_retries(options.max_saved_retries) {}
 
+  /// Adds `retry_ratio` to the budget, up to `max_saved_retries`.
   void OnFirstAttempt();
-  /// Takes one repeated try, if there is one.
-  bool TakeIfAvailable();
+  /// Takes one retry from the budget. Returns false if the budget is empty.
+  bool TryAcquire();
 
  private:
   RetryOptions options;
-  double saved;
+  double saved_retries;
 };
 
 }  // namespace chervilspar::retry
--- a/include/chervilspar/retry/retry_options.h
+++ b/include/chervilspar/retry/retry_options.h
@@ -4,17 +4,19 @@
 
 namespace chervilspar::retry {
 
-/// Whether repeated tries are bounded by a part of the first tries. `kUnlimited` is the baseline.
+/// Whether retries are limited by a budget. `kUnlimited` is the baseline for comparison.
 enum class BudgetMode { kBounded, kUnlimited };
 
 struct RetryOptions {
   BudgetMode mode = BudgetMode::kBounded;
-  /// Repeated tries allowed for each first try: with 0.1 an outage multiplies load by 1.1 at most.
-  double part_of_first_tries = 0.1;
-  /// Tries saved up, so that a quiet service can repeat a few at once.
-  double most_saved = 10.0;
-  /// Tries of one request that may have run, the first included.
-  std::uint32_t most_tries = 3;
+  /// Retries allowed per first attempt. With 0.1, an outage multiplies the load by at most 1.1.
+  double retry_ratio = 0.1;
+  /// Maximum number of unused retries kept, so that a service with little load can make a few at
+  /// once.
+  double max_saved_retries = 10.0;
+  /// Maximum number of attempts of one request, the first included. Attempts that an endpoint
+  /// declined don't count.
+  std::uint32_t max_attempts = 3;
 
   friend bool operator==(const RetryOptions&, const RetryOptions&) = default;
 };
--- a/src/retry/retry_budget.cc
+++ b/src/retry/retry_budget.cc
@@ -5,17 +5,18 @@
 namespace chervilspar::retry {
 
 void RetryBudget::OnFirstAttempt() {
-  this->saved = std::min(this->saved + this->options.part_of_first_tries, this->options.most_saved);
+  this->saved_retries =
+      std::min(this->saved_retries + this->options.retry_ratio, this->options.max_saved_retries);
 }
 
-bool RetryBudget::TakeIfAvailable() {
+bool RetryBudget::TryAcquire() {
   if (this->options.mode == BudgetMode::kUnlimited) {
     return true;
   }
-  if (this->saved < 1.0) {
+  if (this->saved_retries < 1.0) {
     return false;
   }
-  this->saved -= 1.0;
+  this->saved_retries -= 1.0;
   return true;
 }
 
--- a/src/retry/retry_policy.cc
+++ b/src/retry/retry_policy.cc
@@ -22,29 +22,30 @@
   return Verdict::kMayHaveRun;
 }
 
-RetryDecision Decide(const FinishedAttempt& ended, const RetryOptions& options,
+RetryDecision Decide(const FinishedAttempt& attempt, const RetryOptions& options,
                      RetryBudget& budget) {
-  if (ended.outcome == Outcome::kCompleted) {
+  if (attempt.outcome == Outcome::kCompleted) {
     return RetryDecision::kAnswer;
   }
-  if (ended.outcome == Outcome::kUnfit) {
+  if (attempt.outcome == Outcome::kUnfit) {
     return RetryDecision::kRefuse;
   }
-  const bool was_not_run = VerdictOf(ended.outcome) == Verdict::kNotRun;
-  if (!was_not_run && ended.idempotency == admission::Idempotency::kNotIdempotent) {
+  const bool was_not_run = VerdictOf(attempt.outcome) == Verdict::kNotRun;
+  if (!was_not_run && attempt.idempotency == admission::Idempotency::kNotIdempotent) {
     return RetryDecision::kAnswer;
   }
-  const RetryDecision give_up = was_not_run ? RetryDecision::kRefuse : RetryDecision::kAnswer;
-  if (ended.left < ended.expected_run_time) {
-    return give_up;
+  const RetryDecision decision_without_retry =
+      was_not_run ? RetryDecision::kRefuse : RetryDecision::kAnswer;
+  if (attempt.time_left < attempt.expected_run_time) {
+    return decision_without_retry;
   }
-  if (was_not_run && ended.outcome != Outcome::kUnreachable) {
+  if (was_not_run && attempt.outcome != Outcome::kUnreachable) {
     return RetryDecision::kRetry;
   }
-  if (options.mode == BudgetMode::kBounded && ended.tries >= options.most_tries) {
-    return give_up;
+  if (options.mode == BudgetMode::kBounded && attempt.attempts >= options.max_attempts) {
+    return decision_without_retry;
   }
-  return budget.TakeIfAvailable() ? RetryDecision::kRetry : give_up;
+  return budget.TryAcquire() ? RetryDecision::kRetry : decision_without_retry;
 }
 
 }  // namespace chervilspar::retry
--- a/tests/retry/retry_policy_test.cc
+++ b/tests/retry/retry_policy_test.cc
@@ -23,9 +23,9 @@
 
 class RetryPolicyTest : public testing::TestWithParam<RetryCase> {};
 
-// A deposit is charged and the answer is lost on the way. A second try would charge it twice, so
-// the caller is told that it may have run; only work that may run twice is sent again.
-TEST_P(RetryPolicyTest, SendsAgainOnlyWhatIsSafe) {
+// The response to a request that changes state, such as a deposit, is lost. A retry would apply it
+// twice, so the caller gets the answer that it may have run. Only idempotent requests are retried.
+TEST_P(RetryPolicyTest, RetriesOnlyWhatIsSafe) {
   RetryBudget budget{RetryOptions{}};
   EXPECT_EQ(Decide(GetParam().ended, RetryOptions{}, budget), GetParam().expected);
 }
@@ -67,8 +67,8 @@
                               RetryDecision::kRefuse}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// Whatever the outcome, a request that may have run and is not idempotent is never sent again.
-RC_GTEST_PROP(RetryPolicyProperty, NeverRepeatsWhatMayHaveRun, ()) {
+// Regardless of the outcome, a request that may have run and is not idempotent is never retried.
+RC_GTEST_PROP(RetryPolicyProperty, NeverRetriesWhatMayHaveRun, ()) {
   const auto outcome =
       *rc::gen::elementOf(std::vector<Outcome>(std::begin(kAllOutcomes), std::end(kAllOutcomes)));
   const auto mode = *rc::gen::element(BudgetMode::kBounded, BudgetMode::kUnlimited);
@@ -86,25 +86,25 @@
   }
 }
 
-// All endpoints fail at once. Without a budget every request is tried three times, and the fleet
-// gets three times the load just when it can bear least.
-TEST(RetryBudgetTest, BoundsRepeatedTriesInALastingFailure) {
+// All endpoints fail at once. Without a budget every request is attempted three times, which
+// triples the load while capacity is lowest.
+TEST(RetryBudgetTest, LimitsRetriesInALastingFailure) {
   for (const auto mode : {BudgetMode::kBounded, BudgetMode::kUnlimited}) {
     RetryOptions options;
     options.mode = mode;
     RetryBudget budget(options);
-    int repeated = 0;
+    int retries = 0;
     for (int request = 0; request < 1000; ++request) {
       budget.OnFirstAttempt();
-      for (std::uint32_t tries = 1; tries <= 2; ++tries) {
-        const FinishedAttempt ended{kAny, Outcome::kFailed, tries, seconds(9), milliseconds(1)};
-        repeated += Decide(ended, options, budget) == RetryDecision::kRetry ? 1 : 0;
+      for (std::uint32_t attempts = 1; attempts <= 2; ++attempts) {
+        const FinishedAttempt ended{kAny, Outcome::kFailed, attempts, seconds(9), milliseconds(1)};
+        retries += Decide(ended, options, budget) == RetryDecision::kRetry ? 1 : 0;
       }
     }
     if (mode == BudgetMode::kBounded) {
-      EXPECT_LE(repeated, 1000 * options.part_of_first_tries + options.most_saved);
+      EXPECT_LE(retries, 1000 * options.retry_ratio + options.max_saved_retries);
     } else {
-      EXPECT_EQ(repeated, 2000);
+      EXPECT_EQ(retries, 2000);
     }
   }
 }
