--- a/include/chervilspar/scheduling/team_share.h
+++ b/include/chervilspar/scheduling/team_share.h
@@ -4,14 +4,15 @@
 
 namespace chervilspar::scheduling {
 
-enum class UrgentRight { kMayNot, kMay };
+/// Whether a team may mark requests as urgent.
+enum class UrgentPermission { kDenied, kAllowed };
 
-/// A team as the scheduler sees it.
+/// The settings of a team that matter for scheduling.
 struct TeamShare {
   TeamId team;
-  /// Weight when everything is full; above zero.
+  /// Weight when all slots are taken; greater than zero.
   double share = 1.0;
-  UrgentRight urgent = UrgentRight::kMayNot;
+  UrgentPermission urgent = UrgentPermission::kDenied;
 
   friend bool operator==(const TeamShare&, const TeamShare&) = default;
 };
