--- a/src/admission/admission_controller.cc
+++ b/src/admission/admission_controller.cc
@@ -38,7 +38,7 @@
     return std::nullopt;
   }
   if (prediction.endpoints == 0) {
-    return Refusal{RefusalCode::kNoEndpoint, "no endpoint of the service is available",
+    return Refusal{RefusalCode::kNoEndpoint, "no endpoint of the service can be used now",
                    this->RetryAfter(this->options.min_retry_after, random)};
   }
   const Duration time_left = ticket.deadline - now;
@@ -48,7 +48,7 @@
   const bool is_probe = !is_known || random.Unit() < kProbeFraction;
   if (prediction.run_time > time_left && !is_probe) {
     return Refusal{RefusalCode::kDeadlineUnreachable,
-                   "similar requests run for " + Milliseconds(prediction.run_time) +
+                   "like requests run for " + Milliseconds(prediction.run_time) +
                        ", the deadline is in " + Milliseconds(time_left),
                    Duration::zero()};
   }
--- a/src/job_entry/record_relay.cc
+++ b/src/job_entry/record_relay.cc
@@ -56,24 +56,24 @@
   boost::system::error_code error;
   const json::value value = json::parse(body, error);
   if (error || !value.is_object()) {
-    return invalid("", "the body must be a JSON object");
+    return invalid("", "the body should be a JSON object");
   }
   const json::value* partition = value.as_object().if_contains("partition");
   const json::value* rows = value.as_object().if_contains("records");
   const bool is_partition = partition != nullptr && partition->is_int64() &&
                             partition->as_int64() >= 0 && partition->as_int64() < partitions;
   if (!is_partition) {
-    return invalid("partition", "must be the number of a job partition");
+    return invalid("partition", "should be the number of a partition of jobs");
   }
   if (rows == nullptr || !rows->is_array() || rows->as_array().empty()) {
-    return invalid("records", "must be a non-empty list of pairs of key and value");
+    return invalid("records", "should be a list of pairs of key and value");
   }
   RelayedRecords decoded;
   decoded.partition = static_cast<std::uint32_t>(partition->as_int64());
   for (const json::value& row : rows->as_array()) {
     std::optional<KeyedRecord> record = DecodeRow(row);
     if (!record) {
-      return invalid("records", "must be a non-empty list of pairs of key and value");
+      return invalid("records", "should be a list of pairs of key and value");
     }
     decoded.records.push_back(*std::move(record));
   }
@@ -213,12 +213,11 @@
     case WriteVerdict::kStored:
       co_return http::Response{};
     case WriteVerdict::kNotStored:
-      co_return http::ErrorResponse(503, "not_stored", "The store did not store the records.");
+      co_return http::ErrorResponse(503, "not_stored", "The store took nothing.");
     case WriteVerdict::kMayBeStored:
       break;
   }
-  co_return http::ErrorResponse(504, "may_be_stored",
-                                "The store did not answer; the records may be stored.");
+  co_return http::ErrorResponse(504, "may_be_stored", "The store has not answered.");
 }
 
 }  // namespace chervilspar::job_entry
