--- a/bench/lending_experiment.cc
+++ b/bench/lending_experiment.cc
@@ -15,7 +15,7 @@
   way.label = std::move(label);
   way.lease = Duration(static_cast<std::int64_t>(lease_seconds * 1e6));
   way.policy.lend_fraction = fraction;
-  way.policy.ask_ahead = ahead;
+  way.policy.extra_units = ahead;
   return way;
 }
 
--- a/include/chervilspar/quota/quota.h
+++ b/include/chervilspar/quota/quota.h
@@ -21,7 +21,7 @@
 /// How units are lent. The figures' grounds are in docs/MEASUREMENTS.md (pattern `lending`).
 struct LendingPolicy {
   /// Units asked for beyond those that wait.
-  std::uint32_t ask_ahead = 1;
+  std::uint32_t extra_units = 1;
   /// Largest part of its idle units that a lender gives to one request; the rest stays for its own
   /// next requests.
   double lend_fraction = 0.5;
@@ -30,9 +30,9 @@
   /// A request without an answer is given up after this, and the next entry is asked.
   Duration request_timeout = std::chrono::milliseconds(200);
   /// An entry that declined is not asked for the same team again for this long, doubled with each
-  /// decline in a row up to `longest_pause`, unless it tells that it has units now.
-  Duration pause_after_decline = std::chrono::milliseconds(100);
-  Duration longest_pause = std::chrono::seconds(3);
+  /// decline in a row up to `max_decline_backoff`, unless it tells that it has units now.
+  Duration decline_backoff = std::chrono::milliseconds(100);
+  Duration max_decline_backoff = std::chrono::seconds(3);
 };
 
 /// Safety mechanisms of `Quota` that a test may take out.
@@ -44,11 +44,11 @@
   /// A borrower checks the loan's lease on its own clock before each start.
   membership::Guard borrower_lease = membership::Guard::kOn;
   /// A lender counts a loan until lease, longest task lease and skew have passed.
-  membership::Guard lender_hold = membership::Guard::kOn;
+  membership::Guard lender_expiry = membership::Guard::kOn;
   /// A start-by time bounds when an endpoint may start a task.
   membership::Guard start_by = membership::Guard::kOn;
   /// Tasks without a known end count until they must have ended.
-  membership::Guard task_hold = membership::Guard::kOn;
+  membership::Guard task_expiry = membership::Guard::kOn;
   /// A grant is taken once, and only for a request that is still open.
   membership::Guard grant_once = membership::Guard::kOn;
 };
--- a/src/quota/borrower_book.cc
+++ b/src/quota/borrowed_loans.cc
@@ -1,4 +1,4 @@
-#include "borrower_book.h"
+#include "borrowed_loans.h"
 
 #include <algorithm>
 
@@ -14,66 +14,66 @@
 
 }  // namespace
 
-BorrowerBook::BorrowerBook(membership::Incarnation incarnation, QuotaGuards guards)
+BorrowedLoans::BorrowedLoans(membership::Incarnation incarnation, QuotaGuards guards)
     : incarnation(incarnation), guards(guards) {}
 
-std::uint64_t BorrowerBook::Ask(const TeamId& team, const EntryId& lender, std::uint32_t units,
-                                TimePoint now) {
+std::uint64_t BorrowedLoans::AddRequest(const TeamId& team, const EntryId& lender,
+                                        std::uint32_t units, TimePoint now) {
   const std::uint64_t number = ++this->last_request;
   this->requests.emplace(number, Request{team, lender, units, now});
   return number;
 }
 
-GrantUse BorrowerBook::OnGrant(const LoanGrant& grant, const EntryId& from, TimePoint now) {
+GrantOutcome BorrowedLoans::OnGrant(const LoanGrant& grant, const EntryId& from, TimePoint now) {
   if (grant.borrower_incarnation != this->incarnation) {
-    return GrantUse::kForeign;
+    return GrantOutcome::kOtherIncarnation;
   }
   const auto request = this->requests.find(grant.request_number);
   const bool is_open = request != this->requests.end() && request->second.lender == from &&
                        request->second.team == grant.team;
   // With no lease to count from, the moment of the grant's arrival is the best guess: the failing
   // form of this rule.
-  const TimePoint asked_at = is_open ? request->second.sent_at : now;
+  const TimePoint requested_at = is_open ? request->second.sent_at : now;
   if (is_open) {
     this->requests.erase(request);
   }
   if (grant.units == 0) {
-    return is_open ? GrantUse::kDeclined : GrantUse::kRepeated;
+    return is_open ? GrantOutcome::kDeclined : GrantOutcome::kDuplicate;
   }
   if (!is_open && this->guards.grant_once == membership::Guard::kOn) {
     if (!this->loans.contains(grant.loan)) {
-      this->HoldNothingOf(grant, now);
-      return GrantUse::kLate;
+      this->AddLateLoan(grant, now);
+      return GrantOutcome::kLate;
     }
-    return GrantUse::kRepeated;
+    return GrantOutcome::kDuplicate;
   }
   if (this->loans.contains(grant.loan)) {
-    return GrantUse::kRepeated;
+    return GrantOutcome::kDuplicate;
   }
-  this->Keep(grant, asked_at, now);
-  return GrantUse::kTaken;
+  this->AddLoan(grant, requested_at, now);
+  return GrantOutcome::kAccepted;
 }
 
-void BorrowerBook::HoldNothingOf(const LoanGrant& grant, TimePoint now) {
-  this->Keep(grant, now, now);
+void BorrowedLoans::AddLateLoan(const LoanGrant& grant, TimePoint now) {
+  this->AddLoan(grant, now, now);
   Loan& loan = this->loans.at(grant.loan);
   loan.units = 0;
   loan.return_due = now;
 }
 
-void BorrowerBook::Keep(const LoanGrant& grant, TimePoint asked_at, TimePoint now) {
+void BorrowedLoans::AddLoan(const LoanGrant& grant, TimePoint requested_at, TimePoint now) {
   Loan loan;
   loan.team = grant.team;
   loan.units = grant.units;
-  loan.usable_until = asked_at + grant.lease;
-  loan.used_last = now;
+  loan.usable_until = requested_at + grant.lease;
+  loan.last_used_at = now;
   loan.task_lease = grant.task_lease;
-  loan.over_at = now + grant.lease + grant.task_lease;
+  loan.forget_at = now + grant.lease + grant.task_lease;
   this->loans.emplace(grant.loan, loan);
   this->by_team[grant.team].insert(grant.loan);
 }
 
-void BorrowerBook::OnReturnSeen(const LoanReturnSeen& seen) {
+void BorrowedLoans::OnReturnSeen(const LoanReturnSeen& seen) {
   const auto found = this->loans.find(seen.loan);
   if (found == this->loans.end() || found->second.units != seen.still_held) {
     return;
@@ -90,24 +90,24 @@
   this->loans.erase(found);
 }
 
-std::vector<EntryId> BorrowerBook::ForgetUnanswered(TimePoint now, Duration timeout) {
-  std::vector<EntryId> silent;
+std::vector<EntryId> BorrowedLoans::RemoveTimedOutRequests(TimePoint now, Duration timeout) {
+  std::vector<EntryId> timed_out_lenders;
   for (auto request = this->requests.begin(); request != this->requests.end();) {
     if (now - request->second.sent_at < timeout) {
       ++request;
       continue;
     }
-    silent.push_back(request->second.lender);
+    timed_out_lenders.push_back(request->second.lender);
     request = this->requests.erase(request);
   }
-  return silent;
+  return timed_out_lenders;
 }
 
-bool BorrowerBook::IsUsable(const Loan& loan, TimePoint now) const {
+bool BorrowedLoans::IsUsable(const Loan& loan, TimePoint now) const {
   return this->guards.borrower_lease == membership::Guard::kOff || now < loan.usable_until;
 }
 
-std::optional<BorrowedUnit> BorrowerBook::TakeUnit(const TeamId& team, TimePoint now) {
+std::optional<BorrowedUnit> BorrowedLoans::TakeUnit(const TeamId& team, TimePoint now) {
   const auto held = this->by_team.find(team);
   if (held == this->by_team.end()) {
     return std::nullopt;
@@ -118,24 +118,25 @@
       continue;
     }
     ++loan.used;
-    loan.used_last = now;
+    loan.last_used_at = now;
     return BorrowedUnit{key, loan.usable_until, loan.task_lease};
   }
   return std::nullopt;
 }
 
-void BorrowerBook::ReleaseUnit(const LoanKey& key, TimePoint now) {
+void BorrowedLoans::ReleaseUnit(const LoanKey& key, TimePoint now) {
   const auto found = this->loans.find(key);
   CHERVILSPAR_ASSERT(found != this->loans.end());
   CHERVILSPAR_ASSERT(found->second.used > 0);
   CHERVILSPAR_ASSERT(found->second.used <= found->second.units);
   --found->second.used;
-  found->second.used_last = now;
+  found->second.last_used_at = now;
 }
 
-void BorrowerBook::GiveBack(TimePoint now, Duration idle_for, const std::set<TeamId>& keep) {
+void BorrowedLoans::ReleaseUnneeded(TimePoint now, Duration idle_for,
+                                    const std::set<TeamId>& keep) {
   for (auto& [key, loan] : this->loans) {
-    const bool is_idle = now - loan.used_last >= idle_for && !keep.contains(loan.team);
+    const bool is_idle = now - loan.last_used_at >= idle_for && !keep.contains(loan.team);
     const bool is_over = !this->IsUsable(loan, now);
     if (loan.units > loan.used && (is_idle || is_over)) {
       loan.units = loan.used;
@@ -144,10 +145,10 @@
   }
 }
 
-std::map<EntryId, std::vector<LoanReturn>> BorrowerBook::DueReturns(TimePoint now) {
+std::map<EntryId, std::vector<LoanReturn>> BorrowedLoans::TakeDueReturns(TimePoint now) {
   std::map<EntryId, std::vector<LoanReturn>> due;
   for (auto loan = this->loans.begin(); loan != this->loans.end();) {
-    if (loan->second.units == 0 && now >= loan->second.over_at) {
+    if (loan->second.units == 0 && now >= loan->second.forget_at) {
       this->by_team[loan->second.team].erase(loan->first);
       loan = this->loans.erase(loan);
       continue;
@@ -161,7 +162,7 @@
   return due;
 }
 
-std::uint32_t BorrowerBook::Borrowed(const TeamId& team, TimePoint now) const {
+std::uint32_t BorrowedLoans::Borrowed(const TeamId& team, TimePoint now) const {
   std::uint32_t units = 0;
   const auto held = this->by_team.find(team);
   if (held == this->by_team.end()) {
@@ -174,7 +175,7 @@
   return units;
 }
 
-std::uint32_t BorrowerBook::Free(const TeamId& team, TimePoint now) const {
+std::uint32_t BorrowedLoans::Free(const TeamId& team, TimePoint now) const {
   std::uint32_t units = 0;
   const auto held = this->by_team.find(team);
   if (held == this->by_team.end()) {
@@ -187,7 +188,7 @@
   return units;
 }
 
-std::uint32_t BorrowerBook::AskedFor(const TeamId& team) const {
+std::uint32_t BorrowedLoans::RequestedUnits(const TeamId& team) const {
   std::uint32_t units = 0;
   for (const auto& [number, request] : this->requests) {
     units += request.team == team ? request.units : 0;
@@ -195,7 +196,7 @@
   return units;
 }
 
-bool BorrowerBook::HasLapsed(const TeamId& team, TimePoint now) const {
+bool BorrowedLoans::HasExpiredLoan(const TeamId& team, TimePoint now) const {
   const auto held = this->by_team.find(team);
   if (held == this->by_team.end()) {
     return false;
--- a/src/quota/borrower_book.h
+++ b/src/quota/borrowed_loans.h
@@ -14,7 +14,7 @@
 namespace chervilspar::quota {
 
 /// What became of a grant.
-enum class GrantUse { kTaken, kDeclined, kRepeated, kLate, kForeign };
+enum class GrantOutcome { kAccepted, kDeclined, kDuplicate, kLate, kOtherIncarnation };
 
 /// A unit of a loan on which a task may start.
 struct BorrowedUnit {
@@ -24,16 +24,17 @@
 };
 
 /// The requests that this entry has made for loans, and the loans that it holds.
-class BorrowerBook {
+class BorrowedLoans {
  public:
-  BorrowerBook(membership::Incarnation incarnation, QuotaGuards guards);
+  BorrowedLoans(membership::Incarnation incarnation, QuotaGuards guards);
 
   /// Notes a request that is sent now; its number.
-  std::uint64_t Ask(const TeamId& team, const EntryId& lender, std::uint32_t units, TimePoint now);
-  GrantUse OnGrant(const LoanGrant& grant, const EntryId& from, TimePoint now);
+  std::uint64_t AddRequest(const TeamId& team, const EntryId& lender, std::uint32_t units,
+                           TimePoint now);
+  GrantOutcome OnGrant(const LoanGrant& grant, const EntryId& from, TimePoint now);
   void OnReturnSeen(const LoanReturnSeen& seen);
   /// Gives up requests without an answer; their lenders.
-  std::vector<EntryId> ForgetUnanswered(TimePoint now, Duration timeout);
+  std::vector<EntryId> RemoveTimedOutRequests(TimePoint now, Duration timeout);
 
   /// Takes a free unit on which a task may start now.
   std::optional<BorrowedUnit> TakeUnit(const TeamId& team, TimePoint now);
@@ -41,18 +42,18 @@
 
   /// Gives back what can't or need not be used any more. `idle_for` is how long a free unit is
   /// kept; free units of teams in `keep` are kept while their lease lasts.
-  void GiveBack(TimePoint now, Duration idle_for, const std::set<TeamId>& keep);
+  void ReleaseUnneeded(TimePoint now, Duration idle_for, const std::set<TeamId>& keep);
   /// Returns that the lenders have not confirmed, by lender, each due for (another) sending.
-  std::map<EntryId, std::vector<LoanReturn>> DueReturns(TimePoint now);
+  std::map<EntryId, std::vector<LoanReturn>> TakeDueReturns(TimePoint now);
 
   /// Units of loans whose lease lasts.
   std::uint32_t Borrowed(const TeamId& team, TimePoint now) const;
   std::uint32_t Free(const TeamId& team, TimePoint now) const;
-  std::uint32_t AskedFor(const TeamId& team) const;
+  std::uint32_t RequestedUnits(const TeamId& team) const;
   /// Whether a request for the team is on its way.
-  bool IsAsking(const TeamId& team) const { return this->AskedFor(team) > 0; }
+  bool HasOpenRequest(const TeamId& team) const { return this->RequestedUnits(team) > 0; }
   /// Whether the last lease of the team's free units has lapsed while they were held.
-  bool HasLapsed(const TeamId& team, TimePoint now) const;
+  bool HasExpiredLoan(const TeamId& team, TimePoint now) const;
   bool IsEmpty() const { return this->loans.empty(); }
 
  private:
@@ -68,17 +69,17 @@
     std::uint32_t units = 0;
     std::uint32_t used = 0;
     TimePoint usable_until;
-    TimePoint used_last;
+    TimePoint last_used_at;
     Duration task_lease = Duration::zero();
     /// When the return is to be sent next; none while there is nothing to tell.
     std::optional<TimePoint> return_due;
     /// After this the lender counts nothing any more, and the loan can be forgotten.
-    TimePoint over_at;
+    TimePoint forget_at;
   };
 
   bool IsUsable(const Loan& loan, TimePoint now) const;
-  void HoldNothingOf(const LoanGrant& grant, TimePoint now);
-  void Keep(const LoanGrant& grant, TimePoint asked_at, TimePoint now);
+  void AddLateLoan(const LoanGrant& grant, TimePoint now);
+  void AddLoan(const LoanGrant& grant, TimePoint requested_at, TimePoint now);
 
   membership::Incarnation incarnation;
   QuotaGuards guards;
--- a/src/quota/entitlement.h
+++ b/src/quota/entitlement.h
@@ -36,26 +36,26 @@
   /// Units of the team that this entry may use now.
   std::uint32_t Owned(const TeamId& team) const;
   /// This entry's part under the current configuration.
-  std::uint32_t Part(const TeamId& team) const;
-  /// Whether `Owned` is below `Part` because of the joint rule.
-  bool IsHeldBack(const TeamId& team) const;
+  std::uint32_t OwnPart(const TeamId& team) const;
+  /// Whether `Owned` is below `OwnPart` because of the joint rule.
+  bool IsLimitedByJointRule(const TeamId& team) const;
   bool IsKnown(const TeamId& team) const;
 
  private:
   /// One team over the configurations since the last that all had settled in.
   struct Window {
     std::uint32_t own_part = 0;
-    std::uint32_t own_smallest = 0;
+    std::uint32_t min_own_part = 0;
     /// What may be used now; worked out on each change, and read on each request.
     std::uint32_t owned = 0;
     std::map<EntryId, std::uint32_t> parts;
-    std::map<EntryId, std::uint32_t> largest;
+    std::map<EntryId, std::uint32_t> max_parts;
   };
 
-  void TakeBase();
-  void BeginWindows();
-  void Extend(const TeamId& team, std::uint32_t upper_limit);
-  void WorkOutOwned();
+  void StartFromSettled();
+  void RestartWindows();
+  void ExtendWindow(const TeamId& team, std::uint32_t upper_limit);
+  void UpdateOwned();
   std::uint32_t OwnedOf(const Window& window) const;
   bool MayOthersHoldMore(const Window& window) const;
 
@@ -63,7 +63,7 @@
   membership::Guard joint_rule;
   Ownership ownership = Ownership::kNone;
   /// Whether the windows reach back to a configuration that all entries had settled in.
-  bool has_base = false;
+  bool has_settled_base = false;
   /// Whether a configuration since then was skipped. Other entries may hold any part under it.
   bool has_gap = false;
   Limits limits;
--- a/src/quota/lender_choice.h
+++ b/src/quota/lender_selector.h
@@ -17,27 +17,27 @@
 /// a fixed pace, 9 entries and 560 such teams would send far more than the 13 KB a second that
 /// control may take. So an entry that declined is asked again after twice as long each time; it
 /// tells by itself when it has units to lend.
-class LenderChoice {
+class LenderSelector {
  public:
-  explicit LenderChoice(const LendingPolicy& policy) : policy(policy) {}
+  explicit LenderSelector(const LendingPolicy& policy) : policy(policy) {}
 
   void OnDeclined(const TeamId& team, const EntryId& lender, TimePoint now);
   /// The lender has lent, or says that it can.
-  void OnWilling(const TeamId& team, const EntryId& lender);
+  void OnOffer(const TeamId& team, const EntryId& lender);
   /// The entry to ask now; null when all have declined lately.
   const EntryId* Next(const TeamId& team, const std::vector<EntryId>& lenders, TimePoint now);
   void Clear();
 
  private:
-  struct Declined {
+  struct Decline {
     TimePoint at;
-    std::uint32_t times = 0;
+    std::uint32_t count = 0;
   };
 
-  Duration PauseAfter(std::uint32_t times) const;
+  Duration BackoffAfter(std::uint32_t count) const;
 
   LendingPolicy policy;
-  std::map<std::pair<TeamId, EntryId>, Declined> declined;
+  std::map<std::pair<TeamId, EntryId>, Decline> declines;
   std::map<TeamId, std::size_t> next;
 };
 
--- a/src/quota/lender_book.h
+++ b/src/quota/lent_loans.h
@@ -12,9 +12,9 @@
 namespace chervilspar::quota {
 
 /// The loans that this entry has given, until no task on them can still run.
-class LenderBook {
+class LentLoans {
  public:
-  LenderBook(EntryId self, membership::Incarnation incarnation);
+  LentLoans(EntryId self, membership::Incarnation incarnation);
 
   /// A new loan, counted until `counts_until` unless it is returned earlier.
   LoanKey Lend(const EntryId& borrower, const membership::Incarnation& borrower_incarnation,
@@ -25,7 +25,7 @@
   /// and says that it holds nothing, while tasks of the predecessor run on.
   void OnReturn(const LoanReturn& returned, const EntryId& from,
                 const membership::Incarnation& from_incarnation);
-  void ForgetEnded(TimePoint now);
+  void RemoveExpired(TimePoint now);
 
   std::uint32_t Lent(const TeamId& team) const;
   /// Teams with units lent.
@@ -41,7 +41,7 @@
     TimePoint counts_until;
   };
 
-  void Uncount(const TeamId& team, std::uint32_t units);
+  void SubtractLent(const TeamId& team, std::uint32_t units);
 
   EntryId self;
   membership::Incarnation incarnation;
--- a/src/quota/quota_state.cc
+++ b/src/quota/quota_state.cc
@@ -15,9 +15,9 @@
       policy(policy),
       guards(guards),
       entitlement(self.id, guards.joint_rule),
-      lent(self.id, self.incarnation),
-      borrowed(self.incarnation, guards),
-      choice(policy) {}
+      lent_loans(self.id, self.incarnation),
+      borrowed_loans(self.incarnation, guards),
+      lender_selector(policy) {}
 
 void Quota::State::OnConfiguration(const Limits& limits, TimePoint now) {
   if (limits.version == this->limits.version) {
@@ -25,8 +25,8 @@
   }
   this->Expire(now);
   this->limits = limits;
-  this->NoteLongestWait();
-  this->choice.Clear();
+  this->UpdateMaxWait();
+  this->lender_selector.Clear();
   this->declined_borrowers.clear();
   this->entitlement.OnLimits(limits);
 }
@@ -48,16 +48,16 @@
   this->entitlement.OnSettled(settled);
 }
 
-void Quota::State::NoteLongestWait() {
-  const Duration longest_start = std::max(kStartWindow, this->limits.loan_lease);
+void Quota::State::UpdateMaxWait() {
+  const Duration max_start_window = std::max(kStartWindow, this->limits.loan_lease);
   const TimePoint until =
-      this->CountsUntil(longest_start, this->limits.max_task_lease, this->started);
-  this->longest_wait = std::max(this->longest_wait, until - this->started);
+      this->CountsUntil(max_start_window, this->limits.max_task_lease, this->started);
+  this->max_wait = std::max(this->max_wait, until - this->started);
 }
 
-void Quota::State::NoteWaitedOut(TimePoint now) {
+void Quota::State::UpdateWaitedOut(TimePoint now) {
   // Before the log is read to its end, a configuration with longer leases may still turn up.
-  if (this->may_own && now >= this->started + this->longest_wait) {
+  if (this->may_own && now >= this->started + this->max_wait) {
     this->has_waited_out = true;
   }
 }
@@ -67,7 +67,7 @@
 }
 
 TimePoint Quota::State::TaskCountsUntil(Duration window, Duration task_lease, TimePoint now) const {
-  const bool holds = this->guards.task_hold == Guard::kOn;
+  const bool holds = this->guards.task_expiry == Guard::kOn;
   return holds ? this->CountsUntil(window, task_lease, now) : now + window;
 }
 
@@ -76,7 +76,7 @@
 }
 
 std::uint32_t Quota::State::UsedOfOwn(const TeamId& team) const {
-  return this->tasks.OnOwnUnits(team) + this->lent.Lent(team);
+  return this->tasks.OnOwnUnits(team) + this->lent_loans.Lent(team);
 }
 
 std::uint32_t Quota::State::FreeOfOwn(const TeamId& team) const {
@@ -86,16 +86,16 @@
 }
 
 void Quota::State::Expire(TimePoint now) {
-  this->NoteWaitedOut(now);
-  this->lent.ForgetEnded(now);
-  for (const CountedTask& ended : this->tasks.RemoveEnded(now)) {
+  this->UpdateWaitedOut(now);
+  this->lent_loans.RemoveExpired(now);
+  for (const CountedTask& ended : this->tasks.RemoveExpired(now)) {
     this->Release(ended, now);
   }
 }
 
 void Quota::State::Release(const CountedTask& ended, TimePoint now) {
   if (ended.loan) {
-    this->borrowed.ReleaseUnit(*ended.loan, now);
+    this->borrowed_loans.ReleaseUnit(*ended.loan, now);
   }
 }
 
@@ -105,7 +105,7 @@
     if (!loan) {
       return;
     }
-    this->borrowed.ReleaseUnit(*loan, now);
+    this->borrowed_loans.ReleaseUnit(*loan, now);
   }
 }
 
@@ -118,7 +118,7 @@
   if (this->FreeOfOwn(team) > 0) {
     return this->StartOnOwnUnit(team, task, now, wall_now);
   }
-  const std::optional<BorrowedUnit> unit = this->borrowed.TakeUnit(team, now);
+  const std::optional<BorrowedUnit> unit = this->borrowed_loans.TakeUnit(team, now);
   if (unit) {
     return this->StartOnLoan(*unit, team, task, now, wall_now);
   }
@@ -131,7 +131,7 @@
   this->tasks.Add(task, {team, std::nullopt, this->TaskCountsUntil(kStartWindow, task_lease, now)});
   CHERVILSPAR_ASSERT(this->UsedOfOwn(team) <= this->Owned(team));
   const bool has_bound = this->guards.start_by == Guard::kOn;
-  return {wall + (has_bound ? kStartWindow : kNeverWithoutGuard), task_lease};
+  return {wall + (has_bound ? kStartWindow : kUnboundedWindow), task_lease};
 }
 
 StartPermit Quota::State::StartOnLoan(const BorrowedUnit& unit, const TeamId& team,
@@ -143,22 +143,22 @@
   const Duration task_lease = std::min(this->limits.max_task_lease, unit.task_lease);
   this->tasks.Add(task, {team, unit.loan, this->TaskCountsUntil(window, task_lease, now)});
   const bool has_bound = this->guards.start_by == Guard::kOn;
-  return {wall + (has_bound ? window : kNeverWithoutGuard), task_lease};
+  return {wall + (has_bound ? window : kUnboundedWindow), task_lease};
 }
 
 Reason Quota::State::Refuse(const TeamId& team, TimePoint now) {
-  const QuotaRefusal why = this->WhyNoUnit(team, now);
-  this->Count(why);
+  const QuotaRefusal refusal = this->RefusalFor(team, now);
+  this->Count(refusal);
   const ErrorCode code =
-      why == QuotaRefusal::kUnknownTeam ? ErrorCode::kNotFound : ErrorCode::kResourceExhausted;
-  return Reason{code, "team", ToString(why)};
+      refusal == QuotaRefusal::kUnknownTeam ? ErrorCode::kNotFound : ErrorCode::kResourceExhausted;
+  return Reason{code, "team", ToString(refusal)};
 }
 
-QuotaRefusal Quota::State::WhyNoUnit(const TeamId& team, TimePoint now) const {
+QuotaRefusal Quota::State::RefusalFor(const TeamId& team, TimePoint now) const {
   if (!this->entitlement.IsKnown(team)) {
     return QuotaRefusal::kUnknownTeam;
   }
-  if (this->borrowed.HasLapsed(team, now)) {
+  if (this->borrowed_loans.HasExpiredLoan(team, now)) {
     return QuotaRefusal::kLoanExpired;
   }
   if (!this->may_own) {
@@ -167,7 +167,8 @@
   if (!this->has_waited_out) {
     return QuotaRefusal::kWaitingOutPredecessor;
   }
-  return this->entitlement.IsHeldBack(team) ? QuotaRefusal::kJointRule : QuotaRefusal::kNoUnit;
+  return this->entitlement.IsLimitedByJointRule(team) ? QuotaRefusal::kJointRule
+                                                      : QuotaRefusal::kNoUnit;
 }
 
 void Quota::State::OnEnded(const TaskId& task, TimePoint now) {
@@ -185,8 +186,8 @@
   if (is_settled || !this->has_waited_out) {
     return this->settled_version;
   }
-  for (const TeamId& team : this->UsingTeams()) {
-    if (this->UsedOfOwn(team) > this->entitlement.Part(team)) {
+  for (const TeamId& team : this->TeamsInUse()) {
+    if (this->UsedOfOwn(team) > this->entitlement.OwnPart(team)) {
       return this->settled_version;
     }
   }
@@ -198,8 +199,8 @@
   this->Expire(now);
   TeamUnits units;
   units.owned = this->Owned(team);
-  units.borrowed = this->borrowed.Borrowed(team, now);
-  units.lent = this->lent.Lent(team);
+  units.borrowed = this->borrowed_loans.Borrowed(team, now);
+  units.lent = this->lent_loans.Lent(team);
   units.running = this->tasks.Running(team);
   const auto waits = this->waiting.find(team);
   units.waiting = waits == this->waiting.end() ? 0 : waits->second;
@@ -207,12 +208,12 @@
 }
 
 bool Quota::State::IsIdle() const {
-  return this->tasks.IsEmpty() && this->lent.IsEmpty() && this->borrowed.IsEmpty();
+  return this->tasks.IsEmpty() && this->lent_loans.IsEmpty() && this->borrowed_loans.IsEmpty();
 }
 
-std::set<TeamId> Quota::State::UsingTeams() const {
+std::set<TeamId> Quota::State::TeamsInUse() const {
   std::set<TeamId> teams = this->tasks.Teams();
-  teams.merge(this->lent.Teams());
+  teams.merge(this->lent_loans.Teams());
   return teams;
 }
 
--- a/src/quota/quota_state.h
+++ b/src/quota/quota_state.h
@@ -9,10 +9,10 @@
 
 #include "chervilspar/quota/quota.h"
 
-#include "borrower_book.h"
+#include "borrowed_loans.h"
 #include "entitlement.h"
-#include "lender_book.h"
-#include "lender_choice.h"
+#include "lender_selector.h"
+#include "lent_loans.h"
 #include "task_table.h"
 
 namespace chervilspar::quota {
@@ -26,7 +26,7 @@
 inline constexpr Duration kDriftMargin = std::chrono::milliseconds(100);
 
 /// Stands for no start-by time and no end of counting when a test takes these out.
-inline constexpr Duration kNeverWithoutGuard = std::chrono::hours(24);
+inline constexpr Duration kUnboundedWindow = std::chrono::hours(24);
 
 /// The parts of `Quota`, kept out of its public header.
 class Quota::State {
@@ -52,9 +52,9 @@
   bool is_shutting_down = false;
 
  private:
-  void NoteWaitedOut(TimePoint now);
-  void NoteLongestWait();
-  std::set<TeamId> UsingTeams() const;
+  void UpdateWaitedOut(TimePoint now);
+  void UpdateMaxWait();
+  std::set<TeamId> TeamsInUse() const;
   std::uint32_t Owned(const TeamId& team) const;
   std::uint32_t UsedOfOwn(const TeamId& team) const;
   std::uint32_t FreeOfOwn(const TeamId& team) const;
@@ -67,15 +67,15 @@
   TimePoint CountsUntil(Duration window, Duration task_lease, TimePoint now) const;
   TimePoint TaskCountsUntil(Duration window, Duration task_lease, TimePoint now) const;
   Reason Refuse(const TeamId& team, TimePoint now);
-  QuotaRefusal WhyNoUnit(const TeamId& team, TimePoint now) const;
-  void Answer(const LoanRequest& request, const LendingMessage& message, TimePoint now);
-  std::uint32_t Offer(const LoanRequest& request) const;
+  QuotaRefusal RefusalFor(const TeamId& team, TimePoint now) const;
+  void AnswerRequest(const LoanRequest& request, const LendingMessage& message, TimePoint now);
+  std::uint32_t UnitsToLend(const LoanRequest& request) const;
   void OnGrant(const LoanGrant& grant, const EntryId& from, TimePoint now);
-  void AskFor(const TeamId& team, TimePoint now);
-  void TellWhoWasDeclined();
-  void Return(TimePoint now);
+  void RequestLoan(const TeamId& team, TimePoint now);
+  void NotifyDeclinedBorrowers();
+  void ReturnUnneededUnits(TimePoint now);
   void Count(QuotaRefusal refusal) { ++this->refusals.at(static_cast<std::size_t>(refusal)); }
-  LendingMessage& To(const EntryId& entry);
+  LendingMessage& MessageTo(const EntryId& entry);
 
   membership::Self self;
   TimePoint started;
@@ -84,19 +84,19 @@
   Limits limits;
   Entitlement entitlement;
   TaskTable tasks;
-  LenderBook lent;
-  BorrowerBook borrowed;
+  LentLoans lent_loans;
+  BorrowedLoans borrowed_loans;
   bool may_own = false;
   /// Whether nothing that a predecessor of this life gave or used can still run.
   bool has_waited_out = false;
   /// Longest wait under any configuration seen in this life: the predecessor may have acted by an
   /// earlier one with longer leases.
-  Duration longest_wait = Duration::zero();
+  Duration max_wait = Duration::zero();
   config_log::ConfigVersion settled_version = 0;
   std::map<EntryId, LendingMessage> outbox;
   /// Highest request number seen of each borrower's life: a repeated request is not lent on twice.
   std::map<EntryId, std::pair<membership::Incarnation, std::uint64_t>> last_requests;
-  LenderChoice choice;
+  LenderSelector lender_selector;
   /// Who asked for units of a team in vain, to be told when there are some.
   std::map<TeamId, std::set<EntryId>> declined_borrowers;
 };
--- a/src/quota/task_table.cc
+++ b/src/quota/task_table.cc
@@ -24,11 +24,11 @@
   const CountedTask counted = found->second;
   this->by_end.erase({counted.counts_until, task});
   this->tasks.erase(found);
-  this->Uncount(task, counted);
+  this->RemoveFromTeam(task, counted);
   return counted;
 }
 
-void TaskTable::Uncount(const TaskId& task, const CountedTask& counted) {
+void TaskTable::RemoveFromTeam(const TaskId& task, const CountedTask& counted) {
   const auto team = this->teams.find(counted.team);
   CHERVILSPAR_ASSERT(team != this->teams.end());
   if (counted.loan) {
@@ -42,7 +42,7 @@
   }
 }
 
-std::vector<CountedTask> TaskTable::RemoveEnded(TimePoint now) {
+std::vector<CountedTask> TaskTable::RemoveExpired(TimePoint now) {
   std::vector<CountedTask> ended;
   while (!this->by_end.empty() && this->by_end.begin()->first <= now) {
     const TaskId task = this->by_end.begin()->second;
--- a/src/quota/task_table.h
+++ b/src/quota/task_table.h
@@ -30,7 +30,7 @@
   /// Removes a task; none when it isn't known.
   std::optional<CountedTask> Remove(const TaskId& task);
   /// Removes and returns the tasks that must have ended by now.
-  std::vector<CountedTask> RemoveEnded(TimePoint now);
+  std::vector<CountedTask> RemoveExpired(TimePoint now);
   /// Moves one task of the team from a loan to an own unit; the loan that it ran on.
   std::optional<LoanKey> MoveToOwnUnit(const TeamId& team);
 
@@ -46,7 +46,7 @@
     std::set<TaskId> on_loans;
   };
 
-  void Uncount(const TaskId& task, const CountedTask& counted);
+  void RemoveFromTeam(const TaskId& task, const CountedTask& counted);
 
   std::map<TaskId, CountedTask> tasks;
   std::set<std::pair<TimePoint, TaskId>> by_end;
--- a/tests/quota/quota_test.cc
+++ b/tests/quota/quota_test.cc
@@ -104,7 +104,7 @@
 
 TEST(QuotaTest, LenderWithoutTheHoldLendsTheSameUnitTwice) {
   QuotaGuards guards;
-  guards.lender_hold = Guard::kOff;
+  guards.lender_expiry = Guard::kOff;
   LendingPair pair(2, guards);
   pair.Borrow(2, 0);
   ASSERT_EQ(pair.StartAll(pair.e1, 4.9), 2U);
