--- a/include/chervilspar/quota/messages.h
+++ b/include/chervilspar/quota/messages.h
@@ -9,8 +9,8 @@
 
 namespace chervilspar::quota {
 
-/// Names a loan over the lives of its lender: the lender's incarnation is part of it, so that a
-/// successor never takes a return of its predecessor's loan for one of its own.
+/// Identifies a loan across restarts of its lender. The lender's incarnation is part of the key, so
+/// that a restarted lender never takes a return of its predecessor's loan for one of its own.
 struct LoanKey {
   EntryId lender;
   membership::Incarnation lender_incarnation;
@@ -19,9 +19,9 @@
   friend auto operator<=>(const LoanKey&, const LoanKey&) = default;
 };
 
-/// Asks for units of a team's limit.
+/// Requests units of a team's limit.
 struct LoanRequest {
-  /// Counts the sender's requests; the grant repeats it.
+  /// Sequence number among the sender's requests, from 1; the grant repeats it.
   std::uint64_t number = 0;
   TeamId team;
   std::uint32_t units = 0;
@@ -29,27 +29,27 @@
   friend bool operator==(const LoanRequest&, const LoanRequest&) = default;
 };
 
-/// Answers a request; `units` of zero declines it. With request number zero it answers none: it
-/// tells an entry that was declined that the sender now has units to lend.
+/// Answers a request; `units` of zero declines it. With request number zero it answers no request,
+/// but notifies an entry whose request was declined that the sender now has units to lend.
 struct LoanGrant {
   std::uint64_t request_number = 0;
-  /// The life of the borrower that asked. Its successor counts requests anew and must not take the
-  /// grant for an answer to its own.
+  /// The incarnation of the borrower that sent the request. A restarted borrower numbers its
+  /// requests from 1 again and must not take the grant for an answer to one of them.
   membership::Incarnation borrower_incarnation;
   LoanKey loan;
   TeamId team;
   std::uint32_t units = 0;
-  /// The borrower may start tasks on the loan for this long after it *sent the request*, by its own
-  /// clock. The lender counts from the later moment at which it sent the grant.
+  /// How long the borrower may start tasks on the loan, counted on its own clock from the time at
+  /// which it *sent the request*. The lender counts from the later time at which it sent the grant.
   Duration lease = Duration::zero();
-  /// Longest task lease of tasks on this loan. The borrower may already act by a configuration that
-  /// allows longer ones than the lender waits for.
+  /// Maximum task lease of tasks on this loan. The borrower may already have applied a
+  /// configuration that allows longer task leases than the lender waits for.
   Duration task_lease = Duration::zero();
 
   friend bool operator==(const LoanGrant&, const LoanGrant&) = default;
 };
 
-/// Gives units back. Repeats and reordered copies do no harm: what is still held only shrinks.
+/// Returns units. Duplicates and reordering are harmless, since `still_held` only decreases.
 struct LoanReturn {
   LoanKey loan;
   /// Units that the borrower still holds or has tasks running on.
@@ -58,7 +58,7 @@
   friend bool operator==(const LoanReturn&, const LoanReturn&) = default;
 };
 
-/// The lender has taken a return into account; the borrower stops repeating it.
+/// Acknowledges a return, so that the borrower stops repeating it.
 struct LoanReturnSeen {
   LoanKey loan;
   std::uint32_t still_held = 0;
@@ -66,7 +66,7 @@
   friend bool operator==(const LoanReturnSeen&, const LoanReturnSeen&) = default;
 };
 
-/// Everything that one entry has to say to another about loans at one moment, in one message.
+/// All requests, grants, returns and acknowledgements that one entry sends another at one time.
 struct LendingMessage {
   EntryId from;
   membership::Incarnation from_incarnation;
--- a/include/chervilspar/quota/split.h
+++ b/include/chervilspar/quota/split.h
@@ -9,17 +9,17 @@
 
 namespace chervilspar::quota {
 
-/// The part of an accepted configuration that limits depend on.
+/// The settings of an accepted configuration from which limits are computed.
 struct Limits {
   config_log::ConfigVersion version = 0;
   std::set<EntryId> entries;
-  /// Most tasks that a team may run at once across the fleet.
+  /// Maximum number of tasks that a team may run at once across the fleet.
   std::map<TeamId, std::uint32_t> upper_limits;
-  /// Longest task lease given to an endpoint.
+  /// Maximum task lease given to an endpoint.
   Duration max_task_lease = std::chrono::seconds(60);
-  /// Longest that a borrower may start tasks on a loan.
+  /// How long a borrower may start tasks on a loan.
   Duration loan_lease = std::chrono::seconds(5);
-  /// Assumed bound on the difference of two VMs' wall clocks.
+  /// Assumed maximum difference between the wall clocks of two VMs.
   Duration max_clock_skew = std::chrono::milliseconds(500);
 
   friend bool operator==(const Limits&, const Limits&) = default;
@@ -27,12 +27,12 @@
 
 Limits LimitsOf(const config_log::FleetState& state);
 
-/// Each entry's part of one team's limit. The parts add up to the limit; every entry computes the
-/// same ones from the same configuration, without a word to the others.
+/// Splits one team's limit over the entries. The parts add up to the limit; every entry computes
+/// the same split from the same configuration, without exchanging messages.
 ///
-/// Parts differ by at most one unit. Those that get the odd units are the first by rendezvous hash
-/// of (team, entry), so that small limits are spread over different entries for different teams,
-/// and a change of the list moves few units.
+/// Parts differ by at most one unit. The remainder goes to the first entries by rendezvous hash of
+/// (team, entry), so that small limits of different teams lie on different entries, and a change of
+/// the list of entries moves few units.
 std::map<EntryId, std::uint32_t> SplitLimit(const std::set<EntryId>& entries, const TeamId& team,
                                             std::uint32_t upper_limit);
 
--- a/src/quota/borrowed_loans.cc
+++ b/src/quota/borrowed_loans.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// A return that the lender has not confirmed is repeated after this: many round trips, and far
-/// below the time after which the lender counts the loan as free by itself.
+/// A return that the lender hasn't acknowledged is repeated after this. It is many round trips, and
+/// far shorter than the time after which the lender counts the loan as free without a return.
 constexpr Duration kReturnRepeat = std::chrono::milliseconds(500);
 
 }  // namespace
@@ -31,8 +31,8 @@
   const auto request = this->requests.find(grant.request_number);
   const bool is_open = request != this->requests.end() && request->second.lender == from &&
                        request->second.team == grant.team;
-  // With no lease to count from, the moment of the grant's arrival is the best guess: the failing
-  // form of this rule.
+  // Without an open request, only a test that disables `grant_once` uses the loan. Its lease is
+  // then counted from the arrival of the grant, which is too late to be safe.
   const TimePoint requested_at = is_open ? request->second.sent_at : now;
   if (is_open) {
     this->requests.erase(request);
--- a/src/quota/entitlement.cc
+++ b/src/quota/entitlement.cc
@@ -31,7 +31,7 @@
   window.parts = SplitLimit(this->limits.entries, team, upper_limit);
   const auto own = window.parts.find(this->self);
   window.own_part = own == window.parts.end() ? 0 : own->second;
-  // A team that is new in this configuration had no units before; nobody can hold any.
+  // The limit of a team that is new in this configuration was zero, so that no entry holds units.
   window.min_own_part = is_new ? 0 : std::min(window.min_own_part, window.own_part);
   for (const auto& [entry, part] : window.parts) {
     std::uint32_t& max_part = window.max_parts[entry];
@@ -44,7 +44,7 @@
     return;
   }
   this->ownership = Ownership::kMayOwn;
-  // With no configuration in the whole log, nobody has ever owned a unit.
+  // With no configuration in the whole log, no entry has ever owned a unit.
   this->has_settled_base = this->limits.version == 0;
   this->RestartWindows();
   this->StartFromSettled();
--- a/src/quota/entitlement.h
+++ b/src/quota/entitlement.h
@@ -9,44 +9,45 @@
 
 namespace chervilspar::quota {
 
-/// Whether the entry may own units at all; see `Membership::MayOwn`.
+/// Whether the entry may own any units; see `Membership::MayOwn`.
 enum class Ownership { kNone, kMayOwn };
 
-/// What this entry owns of each team's limit while configurations change.
+/// Computes how many units of each team's limit this entry owns while configurations change.
 ///
-/// The joint rule: after a change an entry that gains uses the smallest part it had since the last
-/// configuration that all entries had settled in, until every entry that may still hold more than
-/// its new part has settled. What goes wrong otherwise: a unit moves from one entry to another, the
-/// new holder starts a task on it, and the old one, which is cut off and knows nothing of the
-/// change, starts another; the team runs one task above its limit.
+/// The joint rule: after a configuration change, an entry whose part grows uses only the smallest
+/// part that it had since the last configuration in which all entries had settled. It may use its
+/// new part once every entry that may still hold more than its own new part has settled. Without
+/// the rule, when a unit moves from one entry to another, the new owner could start a task on it
+/// while the old one, which is cut off and hasn't received the change, starts another. The team
+/// would then run one task above its limit.
 ///
-/// The sum over all entries of what this returns, taken with what each still uses, is at most the
-/// limit: an entry raises its part under version w only when every other entry either settled in w
-/// or can't hold more than its part of w under any version that it may be at.
+/// Counting for each entry the larger of the units that it owns and those that it uses, the sum is
+/// at most the limit: an entry raises its part under version w only when every other entry either
+/// settled in w or can't hold more than its part of w under any version that it may have applied.
 class Entitlement {
  public:
   Entitlement(EntryId self, membership::Guard joint_rule);
 
   void OnLimits(const Limits& limits);
-  /// From here on the entry may own units. What it knew before does not count: configurations that
-  /// it skipped while it caught up may be in force elsewhere.
+  /// Allows the entry to own units. Discards what it knew of earlier parts, since other entries may
+  /// act by configurations that this entry skipped while it caught up with the log.
   void OnMayOwn();
   void OnSettled(const membership::Agreement& settled);
 
   /// Units of the team that this entry may use now.
   std::uint32_t Owned(const TeamId& team) const;
-  /// This entry's part under the current configuration.
+  /// This entry's part of the team's limit under the current configuration.
   std::uint32_t OwnPart(const TeamId& team) const;
   /// Whether `Owned` is below `OwnPart` because of the joint rule.
   bool IsLimitedByJointRule(const TeamId& team) const;
   bool IsKnown(const TeamId& team) const;
 
  private:
-  /// One team over the configurations since the last that all had settled in.
+  /// The parts of one team's limit since the last configuration in which all entries had settled.
   struct Window {
     std::uint32_t own_part = 0;
     std::uint32_t min_own_part = 0;
-    /// What may be used now; worked out on each change, and read on each request.
+    /// Units that may be used now; updated on each change, since it is read on each request.
     std::uint32_t owned = 0;
     std::map<EntryId, std::uint32_t> parts;
     std::map<EntryId, std::uint32_t> max_parts;
@@ -62,13 +63,13 @@
   EntryId self;
   membership::Guard joint_rule;
   Ownership ownership = Ownership::kNone;
-  /// Whether the windows reach back to a configuration that all entries had settled in.
+  /// Whether the windows begin with a configuration in which all entries had settled.
   bool has_settled_base = false;
-  /// Whether a configuration since then was skipped. Other entries may hold any part under it.
+  /// Whether a configuration since then was skipped, under which other entries may hold any part.
   bool has_gap = false;
   Limits limits;
   std::map<TeamId, Window> windows;
-  /// Who has not settled in the current configuration, as far as known.
+  /// Entries not known to have settled in the current configuration.
   membership::Agreement settled;
 };
 
--- a/src/quota/lender_selector.cc
+++ b/src/quota/lender_selector.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// 2^10 pauses are above every maximum.
+/// Avoids overflow; 2^10 times the first back-off exceeds every maximum.
 constexpr std::uint32_t kMaxDoublings = 10;
 
 }  // namespace
@@ -36,7 +36,7 @@
     const bool may_ask = decline == this->declines.end() ||
                          now - decline->second.at >= this->BackoffAfter(decline->second.count);
     if (may_ask) {
-      // Stay with this lender while it lends; a decline moves on to the next.
+      // The same lender is asked until it declines; the back-off then skips to the next.
       start = at;
       return &lenders[at];
     }
--- a/src/quota/lender_selector.h
+++ b/src/quota/lender_selector.h
@@ -11,20 +11,20 @@
 
 namespace chervilspar::quota {
 
-/// Chooses whom to ask for units of a team.
+/// Selects the entry to ask for units of a team.
 ///
 /// When a team is at its limit everywhere, every entry with a waiting request asks every other. At
-/// a fixed pace, 9 entries and 560 such teams would send far more than the 13 KB a second that
-/// control may take. So an entry that declined is asked again after twice as long each time; it
-/// tells by itself when it has units to lend.
+/// a fixed rate, 9 entries and 560 such teams would exceed the 13 KB a second that control messages
+/// may use. The wait before an entry is asked again therefore doubles with each decline; the lender
+/// sends a notice when it has units to lend.
 class LenderSelector {
  public:
   explicit LenderSelector(const LendingPolicy& policy) : policy(policy) {}
 
   void OnDeclined(const TeamId& team, const EntryId& lender, TimePoint now);
-  /// The lender has lent, or says that it can.
+  /// Call when the lender has granted a loan or sent a notice that it has units to lend.
   void OnOffer(const TeamId& team, const EntryId& lender);
-  /// The entry to ask now; null when all have declined lately.
+  /// The entry to ask now; null while the back-off of every lender lasts.
   const EntryId* Next(const TeamId& team, const std::vector<EntryId>& lenders, TimePoint now);
   void Clear();
 
--- a/src/quota/lent_loans.h
+++ b/src/quota/lent_loans.h
@@ -11,20 +11,20 @@
 
 namespace chervilspar::quota {
 
-/// The loans that this entry has given, until no task on them can still run.
+/// The loans that this entry has granted, kept until no task on them can still run.
 class LentLoans {
  public:
   LentLoans(EntryId self, membership::Incarnation incarnation);
 
-  /// A new loan, counted until `counts_until` unless it is returned earlier.
+  /// Adds a loan, which counts until `counts_until` unless it is returned earlier.
   LoanKey Lend(const EntryId& borrower, const membership::Incarnation& borrower_incarnation,
                const TeamId& team, std::uint32_t units, TimePoint counts_until);
-  /// Takes a return into account, if it comes from the life that the loan was given to.
-  ///
-  /// What goes wrong otherwise: the borrower is replaced, its successor knows nothing of the loan
-  /// and says that it holds nothing, while tasks of the predecessor run on.
+  /// Applies a return if it comes from the incarnation to which the loan was granted. A restarted
+  /// borrower doesn't know the loan and reports that it holds nothing, while tasks of its
+  /// predecessor may still run on the units.
   void OnReturn(const LoanReturn& returned, const EntryId& from,
                 const membership::Incarnation& from_incarnation);
+  /// Removes the loans that no longer count.
   void RemoveExpired(TimePoint now);
 
   std::uint32_t Lent(const TeamId& team) const;
--- a/src/quota/quota_state.cc
+++ b/src/quota/quota_state.cc
@@ -37,7 +37,7 @@
   }
   this->Expire(now);
   this->may_own = true;
-  // With no configuration in the whole log, no predecessor ever owned a unit.
+  // With no configuration in the whole log, no predecessor has ever owned a unit.
   const bool had_predecessor = this->limits.version > 0;
   this->has_waited_out =
       this->has_waited_out || !had_predecessor || this->guards.wait_out_predecessor == Guard::kOff;
@@ -56,7 +56,7 @@
 }
 
 void Quota::State::UpdateWaitedOut(TimePoint now) {
-  // Before the log is read to its end, a configuration with longer leases may still turn up.
+  // Until the log is read to its end, it may still contain a configuration with longer leases.
   if (this->may_own && now >= this->started + this->max_wait) {
     this->has_waited_out = true;
   }
@@ -113,7 +113,7 @@
                                            WallTime wall_now) {
   this->Expire(now);
   if (this->tasks.Contains(task)) {
-    return Reason{ErrorCode::kConflict, "task", "the task was started before"};
+    return Reason{ErrorCode::kConflict, "task", "the task was already started"};
   }
   if (this->FreeOfOwn(team) > 0) {
     return this->StartOnOwnUnit(team, task, now, wall_now);
--- a/src/quota/quota_state.h
+++ b/src/quota/quota_state.h
@@ -17,18 +17,17 @@
 
 namespace chervilspar::quota {
 
-/// How long after the check an endpoint may start the task. A dispatch takes a few milliseconds, so
-/// that this only ever refuses what a pause or a stuck connection has held up.
+/// How long after the check of the limit an endpoint may start the task. A dispatch takes a few
+/// milliseconds, so that only tasks delayed by a pause or a stuck connection are refused.
 inline constexpr Duration kStartWindow = std::chrono::seconds(2);
 
-/// Allows for two clocks running at different rates: 200 ppm over the 67 s that the longest wait
-/// takes are 14 ms.
+/// Allows for clocks that run at different rates: 200 ppm over the longest wait of 67 s are 14 ms.
 inline constexpr Duration kDriftMargin = std::chrono::milliseconds(100);
 
-/// Stands for no start-by time and no end of counting when a test takes these out.
+/// Start window when a test disables the start-by time.
 inline constexpr Duration kUnboundedWindow = std::chrono::hours(24);
 
-/// The parts of `Quota`, kept out of its public header.
+/// The implementation of `Quota`.
 class Quota::State {
  public:
   State(const membership::Self& self, TimePoint started, LendingPolicy policy, QuotaGuards guards);
@@ -87,17 +86,18 @@
   LentLoans lent_loans;
   BorrowedLoans borrowed_loans;
   bool may_own = false;
-  /// Whether nothing that a predecessor of this life gave or used can still run.
+  /// Whether no task can still run on units that a predecessor of this process lent or used.
   bool has_waited_out = false;
-  /// Longest wait under any configuration seen in this life: the predecessor may have acted by an
-  /// earlier one with longer leases.
+  /// Maximum wait under any configuration seen since the start. The predecessor may have acted by
+  /// an earlier one with longer leases.
   Duration max_wait = Duration::zero();
   config_log::ConfigVersion settled_version = 0;
   std::map<EntryId, LendingMessage> outbox;
-  /// Highest request number seen of each borrower's life: a repeated request is not lent on twice.
+  /// Each borrower's incarnation and its last request number, so that a duplicate request isn't
+  /// granted twice.
   std::map<EntryId, std::pair<membership::Incarnation, std::uint64_t>> last_requests;
   LenderSelector lender_selector;
-  /// Who asked for units of a team in vain, to be told when there are some.
+  /// Entries whose requests for a team were declined, to be notified when there are units to lend.
   std::map<TeamId, std::set<EntryId>> declined_borrowers;
 };
 
--- a/src/quota/task_table.h
+++ b/src/quota/task_table.h
@@ -18,25 +18,26 @@
   TeamId team;
   /// The loan that it runs on; none for an own unit.
   std::optional<LoanKey> loan;
-  /// When it must have ended, whatever was heard of it.
+  /// When the task must have ended, even if its end was never reported.
   TimePoint counts_until;
 };
 
-/// The tasks that this entry has started, until they are known, or certain, to have ended.
+/// The tasks that this entry has started, until their end is reported or they must have ended.
 class TaskTable {
  public:
   bool Contains(const TaskId& task) const { return this->tasks.contains(task); }
   void Add(const TaskId& task, const CountedTask& counted);
-  /// Removes a task; none when it isn't known.
+  /// Removes and returns a task; empty when it isn't in the table.
   std::optional<CountedTask> Remove(const TaskId& task);
   /// Removes and returns the tasks that must have ended by now.
   std::vector<CountedTask> RemoveExpired(TimePoint now);
-  /// Moves one task of the team from a loan to an own unit; the loan that it ran on.
+  /// Moves one task of the team from a loan to an own unit and returns that loan; empty when no
+  /// task of the team runs on a loan.
   std::optional<LoanKey> MoveToOwnUnit(const TeamId& team);
 
   std::uint32_t OnOwnUnits(const TeamId& team) const;
   std::uint32_t Running(const TeamId& team) const;
-  /// Teams with a task here.
+  /// Teams with a task in the table.
   std::set<TeamId> Teams() const;
   bool IsEmpty() const { return this->tasks.empty(); }
 
--- a/tests/quota/lending_pair.h
+++ b/tests/quota/lending_pair.h
@@ -18,8 +18,8 @@
   return WallTime(std::chrono::hours(500000) + Duration(static_cast<std::int64_t>(seconds * 1e6)));
 }
 
-inline membership::Self SelfOf(const std::string& name, std::uint64_t life = 1) {
-  return {EntryId{name}, {Wall(static_cast<double>(life)), life}, ZoneId{"a"}};
+inline membership::Self SelfOf(const std::string& name, std::uint64_t incarnation = 1) {
+  return {EntryId{name}, {Wall(static_cast<double>(incarnation)), incarnation}, ZoneId{"a"}};
 }
 
 inline Limits LimitsAt(config_log::ConfigVersion version, const std::vector<std::string>& entries,
@@ -43,7 +43,7 @@
   return agreement;
 }
 
-/// Carries messages between two entries until neither has more to say.
+/// Delivers messages between two entries until neither sends any more.
 inline void Exchange(Quota& left, Quota& right, std::vector<LendingMessage> messages,
                      TimePoint now) {
   while (!messages.empty()) {
@@ -58,7 +58,7 @@
   }
 }
 
-/// Two entries, e1 and e2, that were up before the first configuration and have settled in it.
+/// Two entries, e1 and e2, that started before the first configuration and have settled in it.
 struct LendingPair {
   explicit LendingPair(std::uint32_t upper_limit, QuotaGuards guards = {},
                        LendingPolicy policy = {})
@@ -72,13 +72,13 @@
     this->e2.SetLenders({EntryId{"e1"}});
   }
 
-  /// e1 borrows for `waiting` requests; messages pass at once.
+  /// e1 borrows for `waiting` requests; messages are delivered without delay.
   void Borrow(std::uint32_t waiting, double at) {
     this->e1.SetWaiting(this->team, waiting);
     Exchange(this->e1, this->e2, this->e1.Tick(At(at)), At(at));
   }
 
-  /// Starts as many tasks as the entry allows; how many.
+  /// Starts as many tasks as the entry allows; returns their number.
   std::uint32_t StartAll(Quota& quota, double at) {
     std::uint32_t started = 0;
     while (
--- a/tests/quota/quota_test.cc
+++ b/tests/quota/quota_test.cc
@@ -14,17 +14,18 @@
 struct BorrowCase {
   std::string name;
   std::uint32_t limit;
-  /// Requests that wait at e1, ticked so often, 50 ms apart.
+  /// Requests that wait at e1.
   std::uint32_t waiting;
+  /// Number of ticks of e1, 200 ms apart.
   int ticks;
-  /// Tasks that e1 can start then.
-  std::uint32_t at_least;
-  std::uint32_t at_most;
+  /// Bounds on the number of tasks that e1 starts.
+  std::uint32_t min_started;
+  std::uint32_t max_started;
 };
 
 class BorrowTest : public testing::TestWithParam<BorrowCase> {};
 
-TEST_P(BorrowTest, EntryWithWorkGetsIdleUnitsOfTheOther) {
+TEST_P(BorrowTest, BusyEntryBorrowsIdleUnitsOfTheOther) {
   const BorrowCase& param = GetParam();
   LendingPair pair(param.limit);
   std::uint32_t started = 0;
@@ -33,20 +34,21 @@
     pair.Borrow(param.waiting, at);
     started += pair.StartAll(pair.e1, at);
   }
-  EXPECT_GE(started, param.at_least);
-  EXPECT_LE(started, param.at_most);
+  EXPECT_GE(started, param.min_started);
+  EXPECT_LE(started, param.max_started);
 }
 
 INSTANTIATE_TEST_SUITE_P(Cases, BorrowTest,
                          testing::Values(BorrowCase{"OwnUnitsOnly", 10, 0, 1, 5, 5},
                                          BorrowCase{"HalfOfIdleAtOnce", 10, 10, 1, 8, 8},
-                                         BorrowCase{"AllInTheEnd", 10, 10, 8, 10, 10},
+                                         BorrowCase{"AllAfterSeveralTicks", 10, 10, 8, 10, 10},
                                          BorrowCase{"LimitOfOne", 1, 1, 2, 1, 1},
                                          BorrowCase{"LimitOfZero", 0, 3, 3, 0, 0}),
                          [](const auto& info) { return info.param.name; });
 
-/// Requests for loans that e1 sends in a time, with e2 at its limit throughout.
-std::size_t RequestsSent(LendingPair& pair, double from, double until) {
+/// Number of loan requests that e1 sends from `from` until `until`, in seconds, while e2 is at its
+/// limit.
+std::size_t CountSentRequests(LendingPair& pair, double from, double until) {
   std::size_t sent = 0;
   for (double at = from; at < until; at += 0.05) {
     std::vector<LendingMessage> messages = pair.e1.Tick(At(at));
@@ -58,30 +60,30 @@
   return sent;
 }
 
-// A team is at its limit everywhere and requests wait at every entry. If each kept asking the
-// others at a fixed pace, a few such teams would use up all that control may send.
-TEST(QuotaTest, AsksLessAndLessWhileAllIsInUse) {
+// A team is at its limit everywhere and requests wait at every entry. If each entry kept asking the
+// others at a fixed rate, a few such teams would use up the bandwidth of control messages.
+TEST(QuotaTest, BacksOffWhileAllUnitsAreInUse) {
   LendingPair pair(2);
   ASSERT_EQ(pair.StartAll(pair.e1, 0), 1U);
   ASSERT_EQ(pair.StartAll(pair.e2, 0), 1U);
   pair.e1.SetWaiting(pair.team, 1);
-  EXPECT_LE(RequestsSent(pair, 0, 10), 10U);
+  EXPECT_LE(CountSentRequests(pair, 0, 10), 10U);
 }
 
-// After many declines the borrower asks only every few seconds. Without a word from the lender a
-// unit that is free again would lie idle for that long, while a request waits for it.
-TEST(QuotaTest, LenderTellsWhenItHasUnitsAgain) {
+// After many declines the borrower asks only every few seconds. Without a notice from the lender, a
+// unit that becomes free would stay idle for that long while a request waits for it.
+TEST(QuotaTest, LenderNotifiesDeclinedBorrowersWhenItHasUnits) {
   LendingPair pair(2);
   ASSERT_EQ(pair.StartAll(pair.e1, 0), 1U);
   ASSERT_TRUE(pair.e2.TryStart(pair.team, TaskId{"busy"}, At(0), Wall(0)));
   pair.e1.SetWaiting(pair.team, 1);
-  RequestsSent(pair, 0, 10);
+  CountSentRequests(pair, 0, 10);
   pair.e2.OnEnded(TaskId{"busy"}, At(10));
   Exchange(pair.e1, pair.e2, pair.e2.Tick(At(10.05)), At(10.05));
   EXPECT_EQ(pair.StartAll(pair.e1, 10.05), 1U);
 }
 
-TEST(QuotaTest, UnitsComeBackWhenTheBorrowerIsIdle) {
+TEST(QuotaTest, IdleBorrowerReturnsUnits) {
   LendingPair pair(10);
   pair.Borrow(10, 0.1);
   EXPECT_GT(pair.e2.Units(pair.team, At(0.1)).lent, 0U);
@@ -91,8 +93,8 @@
   EXPECT_TRUE(pair.e1.IsIdle());
 }
 
-// A zone is cut off just after an entry in it has borrowed. The lender can't know whether tasks run
-// on the units; a user of the team would see more tasks than its limit if it took them back early.
+// A zone is cut off just after an entry in it has borrowed units. The lender can't know whether
+// tasks run on them; if it reused them early, the team would run more tasks than its limit.
 TEST(QuotaTest, LenderCountsAnUnreturnedLoanUntilItsTasksMustHaveEnded) {
   LendingPair pair(2);
   pair.Borrow(2, 0);
@@ -102,7 +104,7 @@
   EXPECT_EQ(pair.StartAll(pair.e2, 65.7), 1U);
 }
 
-TEST(QuotaTest, LenderWithoutTheHoldLendsTheSameUnitTwice) {
+TEST(QuotaTest, WithoutLenderExpiryAUnitIsUsedTwice) {
   QuotaGuards guards;
   guards.lender_expiry = Guard::kOff;
   LendingPair pair(2, guards);
@@ -111,16 +113,16 @@
   EXPECT_EQ(pair.StartAll(pair.e2, 5.1), 1U);
 }
 
-// A borrower is paused for longer than the lease of its loan. When it goes on, its lender may have
-// given the unit away, and the team would run one task too many.
-TEST(QuotaTest, PausedBorrowerStartsNothingOnALapsedLoan) {
+// A borrower is paused for longer than the lease of its loan. When it resumes, its lender may
+// already use the unit again, and the team would run one task too many.
+TEST(QuotaTest, PausedBorrowerStartsNothingOnAnExpiredLoan) {
   LendingPair pair(2);
   pair.Borrow(2, 0);
   EXPECT_EQ(pair.StartAll(pair.e1, 70), 1U);
   EXPECT_GT(pair.e1.RefusalCount(QuotaRefusal::kLoanExpired), 0U);
 }
 
-TEST(QuotaTest, WithoutTheLeaseCheckAPausedBorrowerUsesALapsedLoan) {
+TEST(QuotaTest, WithoutTheLeaseCheckAPausedBorrowerUsesAnExpiredLoan) {
   QuotaGuards guards;
   guards.borrower_lease = Guard::kOff;
   LendingPair pair(2, guards);
@@ -128,9 +130,10 @@
   EXPECT_EQ(pair.StartAll(pair.e1, 70), 2U);
 }
 
-// The process stops between the check of the limit and the moment the bytes leave. The task reaches
-// the endpoint a minute late, when its unit serves another task; only the endpoint can refuse it.
-TEST(QuotaTest, StartByNeverExceedsWhatIsLeftOfTheLoan) {
+// The process is paused between the check of the limit and the sending of the request. The task
+// reaches the endpoint a minute late, when its unit serves another task; only the endpoint can
+// refuse it.
+TEST(QuotaTest, StartByNeverExceedsTheLeaseOfTheLoan) {
   LendingPair pair(2);
   pair.Borrow(2, 0);
   ASSERT_TRUE(pair.e1.TryStart(pair.team, TaskId{"own"}, At(4), Wall(4)));
@@ -141,8 +144,8 @@
   EXPECT_LE(permit->task_lease, std::chrono::seconds(60));
 }
 
-// The grant is delayed in the network beyond the lease. The borrower counts the lease from its
-// request, so that it never takes a unit that the lender may count as free again.
+// The network delays a grant beyond the lease. The borrower counts the lease from its request, so
+// that it never uses a unit that the lender may count as free again.
 TEST(QuotaTest, LateGrantIsReturnedUnused) {
   LendingPair pair(2);
   pair.e1.SetWaiting(pair.team, 2);
@@ -159,9 +162,9 @@
   EXPECT_EQ(pair.e2.Units(pair.team, At(6)).lent, 0U);
 }
 
-// The network delivers a grant twice, the second time after the units were returned. Taking it
-// again would use units that the lender has back.
-TEST(QuotaTest, RepeatedGrantIsNotTakenTwice) {
+// The network delivers a grant twice, the second time after the units were returned. Accepting it
+// again would use units that the lender counts as free.
+TEST(QuotaTest, DuplicateGrantIsNotAcceptedAgain) {
   LendingPair pair(2);
   pair.e1.SetWaiting(pair.team, 2);
   const auto grants = pair.e2.OnMessage(pair.e1.Tick(At(0)).at(0), At(0));
@@ -173,8 +176,8 @@
   EXPECT_EQ(pair.StartAll(pair.e1, 1.2), 1U);
 }
 
-// The borrower is replaced while tasks run on its loans. Its successor knows nothing of them; what
-// it says about loans must not free the units.
+// The borrower is replaced while tasks run on its loans. Its successor doesn't know the loans; a
+// return that it sends must not free the units.
 TEST(QuotaTest, SuccessorOfABorrowerFreesNothing) {
   LendingPair pair(2);
   pair.Borrow(2, 0);
@@ -188,9 +191,9 @@
   EXPECT_EQ(pair.e2.Units(pair.team, At(1)).lent, 1U);
 }
 
-// The lender is replaced and has forgotten its loan, whose tasks still run. Its successor must not
-// use its units before they can have ended.
-TEST(QuotaTest, SuccessorOfALenderWaitsOutItsLoans) {
+// The lender is replaced while tasks run on its loan. Its successor doesn't know the loan and must
+// not use the units before the tasks must have ended.
+TEST(QuotaTest, SuccessorOfALenderWaitsUntilItsLoansExpire) {
   LendingPair pair(2);
   pair.Borrow(2, 9);
   ASSERT_EQ(pair.StartAll(pair.e1, 9), 2U);
@@ -214,9 +217,10 @@
 
 class JointRuleTest : public testing::TestWithParam<JointRuleCase> {};
 
-// An operator changes a limit or the list of entries while a zone is cut off. Whoever gains units
-// must not use them while their old holder, which may know nothing of the change, still does.
-TEST_P(JointRuleTest, GainWaitsForThoseWhoLose) {
+// An operator changes a limit or the list of entries while a zone is cut off. An entry that gains
+// units must not use them while their previous owner, which may not have received the change, still
+// does.
+TEST_P(JointRuleTest, GainWaitsForEntriesThatLoseUnits) {
   const JointRuleCase& param = GetParam();
   LendingPair pair(10);
   pair.e1.OnConfiguration(param.next, At(1));
@@ -226,18 +230,19 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Cases, JointRuleTest,
-    testing::Values(JointRuleCase{"LossAtOnce", LimitsAt(2, {"e1", "e2"}, 4), {"e2"}, 2},
-                    JointRuleCase{
-                        "RaiseWhereNobodyLoses", LimitsAt(2, {"e1", "e2"}, 20), {"e2"}, 10},
-                    JointRuleCase{"PeerRemovedAndSilent", LimitsAt(2, {"e1"}, 10), {"e2"}, 5},
-                    JointRuleCase{"PeerRemovedAndSettled", LimitsAt(2, {"e1"}, 10), {}, 10},
-                    JointRuleCase{"PeerAdded", LimitsAt(2, {"e1", "e2", "e3"}, 9), {"e2", "e3"}, 3},
-                    JointRuleCase{"SkippedAVersion", LimitsAt(3, {"e1", "e2"}, 20), {"e2"}, 5},
-                    JointRuleCase{"SkippedAndAllSettled", LimitsAt(3, {"e1", "e2"}, 20), {}, 10}),
+    testing::Values(
+        JointRuleCase{"LossTakesEffectImmediately", LimitsAt(2, {"e1", "e2"}, 4), {"e2"}, 2},
+        JointRuleCase{"RaiseWithoutLosers", LimitsAt(2, {"e1", "e2"}, 20), {"e2"}, 10},
+        JointRuleCase{"PeerRemovedAndUnresponsive", LimitsAt(2, {"e1"}, 10), {"e2"}, 5},
+        JointRuleCase{"PeerRemovedAndSettled", LimitsAt(2, {"e1"}, 10), {}, 10},
+        JointRuleCase{"PeerAdded", LimitsAt(2, {"e1", "e2", "e3"}, 9), {"e2", "e3"}, 3},
+        JointRuleCase{"SkippedVersion", LimitsAt(3, {"e1", "e2"}, 20), {"e2"}, 5},
+        JointRuleCase{"SkippedAndAllSettled", LimitsAt(3, {"e1", "e2"}, 20), {}, 10}),
     [](const auto& info) { return info.param.name; });
 
-// The entry starts while the log is down and has its configuration from a peer that is behind what
-// its predecessor had confirmed. Until it has read the log to the end it may only borrow.
+// The entry starts while the log is unavailable and takes its configuration from a peer, which may
+// be older than the one that its predecessor confirmed. Until it has read the log to its end, it
+// may only borrow.
 TEST(QuotaTest, EntryThatHasNotReadTheLogOwnsNothingAndMayBorrow) {
   LendingPair pair(10);
   Quota fresh(SelfOf("e1", 2), At(100));
@@ -251,7 +256,7 @@
   EXPECT_GE(pair.StartAll(fresh, 200), 2U);
 }
 
-TEST(QuotaTest, SettlesOnlyWhenUseIsWithinTheNewPart) {
+TEST(QuotaTest, SettlesOnlyWhenItsUseFitsTheNewPart) {
   LendingPair pair(10);
   ASSERT_EQ(pair.StartAll(pair.e1, 0), 5U);
   ASSERT_EQ(pair.e1.SettledVersion(At(0)), 1);
@@ -261,8 +266,8 @@
   EXPECT_EQ(pair.e1.SettledVersion(At(2)), 2);
 }
 
-// The answer of a task is lost, so that its end is never heard of. Without an end to its counting
-// the unit would be lost to the team until the next restart.
+// The response to a task is lost, so that its end is never reported. If the task counted forever,
+// the team would lose the unit until the next restart.
 TEST(QuotaTest, TaskWithoutKnownEndStopsCountingWhenItMustHaveEnded) {
   LendingPair pair(10);
   ASSERT_EQ(pair.StartAll(pair.e1, 0), 5U);
@@ -270,7 +275,7 @@
   EXPECT_EQ(pair.e1.Units(pair.team, At(63)).running, 0U);
 }
 
-TEST(QuotaTest, ShutdownLendsNothingAndReturnsWhatIsIdle) {
+TEST(QuotaTest, ShutdownLendsNothingAndReturnsIdleUnits) {
   LendingPair pair(10);
   pair.Borrow(10, 0.1);
   pair.e1.SetWaiting(pair.team, 0);
--- a/tests/quota/split_test.cc
+++ b/tests/quota/split_test.cc
@@ -18,7 +18,7 @@
 }
 
 TEST(SplitLimitTest, PartsAddUpAndDifferByAtMostOne) {
-  const bool holds = rc::check("parts add up and are even", [] {
+  const bool holds = rc::check("parts add up to the limit and differ by at most one", [] {
     const auto count = *rc::gen::inRange<std::uint32_t>(1, 12);
     const auto limit = *rc::gen::inRange<std::uint32_t>(0, 500);
     const TeamId team{"team" + std::to_string(*rc::gen::inRange(0, 600))};
@@ -37,19 +37,19 @@
   std::string name;
   std::uint32_t entries;
   std::uint32_t limit;
-  std::uint32_t holders;
+  std::uint32_t owners;
 };
 
 class SmallLimitTest : public testing::TestWithParam<SmallLimitCase> {};
 
-TEST_P(SmallLimitTest, OddUnitsLieWithAsManyEntries) {
+TEST_P(SmallLimitTest, RemainderIsSpreadOverAsManyEntries) {
   const SmallLimitCase& param = GetParam();
-  std::uint32_t holders = 0;
+  std::uint32_t owners = 0;
   for (const auto& [entry, part] :
        SplitLimit(EntriesUpTo(param.entries), TeamId{"workshop"}, param.limit)) {
-    holders += part > 0 ? 1 : 0;
+    owners += part > 0 ? 1 : 0;
   }
-  EXPECT_EQ(holders, param.holders);
+  EXPECT_EQ(owners, param.owners);
 }
 
 INSTANTIATE_TEST_SUITE_P(Cases, SmallLimitTest,
@@ -60,17 +60,17 @@
                                          SmallLimitCase{"NoEntry", 0, 3, 0}),
                          [](const auto& info) { return info.param.name; });
 
-// A team with one unit finds it at one entry. If that were the same entry for all small teams, it
-// would carry all of their lending.
-TEST(SplitLimitTest, SmallTeamsLieOnDifferentEntries) {
-  std::map<EntryId, std::uint32_t> held;
+// The single unit of a team with a limit of one is owned by one entry. If that were the same entry
+// for all such teams, it would have to handle all of their loans.
+TEST(SplitLimitTest, UnitsOfSmallTeamsAreSpreadOverEntries) {
+  std::map<EntryId, std::uint32_t> owned;
   for (int team = 0; team < 560; ++team) {
     for (const auto& [entry, part] :
          SplitLimit(EntriesUpTo(9), TeamId{"team" + std::to_string(team)}, 1)) {
-      held[entry] += part;
+      owned[entry] += part;
     }
   }
-  for (const auto& [entry, units] : held) {
+  for (const auto& [entry, units] : owned) {
     EXPECT_GT(units, 560U / 9 / 2) << entry;
     EXPECT_LT(units, 560U / 9 * 2) << entry;
   }
