--- a/include/chervilspar/membership/agreement.h
+++ b/include/chervilspar/membership/agreement.h
@@ -16,10 +16,10 @@
   /// gone. They may be cut off and still act by an old configuration.
   std::set<EntryId> former;
   /// Entries declared gone by an operator's record. They do nothing new; what they began may still
-  /// run for `longest_run`.
+  /// run for `max_run_duration`.
   std::set<EntryId> gone;
   /// Longest that a task may still run whose entry, or whose lender, is gone.
-  Duration longest_run = Duration::zero();
+  Duration max_run_duration = Duration::zero();
 
   friend bool operator==(const EntryList&, const EntryList&) = default;
 };
--- a/include/chervilspar/membership/membership.h
+++ b/include/chervilspar/membership/membership.h
@@ -18,7 +18,7 @@
 inline constexpr Duration kHeartbeatInterval = std::chrono::milliseconds(500);
 
 /// A peer unheard for this long is silent: four heartbeats were lost in a row.
-inline constexpr Duration kSilentAfter = std::chrono::seconds(2);
+inline constexpr Duration kPeerTimeout = std::chrono::seconds(2);
 
 /// A gap between two ticks that counts as a pause of this process.
 inline constexpr Duration kPauseThreshold = std::chrono::seconds(1);
@@ -41,28 +41,28 @@
   Guard await_former = Guard::kOn;
 };
 
-enum class Freshness {
+enum class Reachability {
   /// Never heard of in this life.
   kUnknown,
-  /// Heard of within `kSilentAfter`.
-  kFresh,
+  /// Heard of within `kPeerTimeout`.
+  kReachable,
   /// Heard of, but not lately: paused, cut off or gone. Which of these can't be told, so that
   /// silence never frees anything that the peer may hold.
-  kSilent,
+  kUnresponsive,
 };
 
 /// What this entry knows of another.
 struct PeerView {
-  Freshness freshness = Freshness::kUnknown;
+  Reachability reachability = Reachability::kUnknown;
   /// The peer's last heartbeat; empty fields when unknown.
   Heartbeat last;
   /// Own monotonic time at which it came.
-  TimePoint heard_at;
+  TimePoint last_contact;
 };
 
 /// What a heartbeat told that was not known before.
-enum class HeartbeatNews {
-  kNothing,
+enum class HeartbeatOutcome {
+  kKnownIncarnation,
   /// First word of this peer in this life.
   kNewPeer,
   /// The peer was restarted or replaced: what its predecessor was sent or asked is void.
@@ -94,19 +94,19 @@
   /// `quota::Quota` has come within the split of this configuration. Older news is passed over.
   void OnSettled(config_log::ConfigVersion version);
 
-  HeartbeatNews OnHeartbeat(const Heartbeat& heartbeat, TimePoint now);
+  HeartbeatOutcome OnHeartbeat(const Heartbeat& heartbeat, TimePoint now);
 
   /// Call at least every `kHeartbeatInterval`. Tells of a pause of this process since the last
   /// call.
   std::optional<Pause> Tick(TimePoint now);
 
-  /// The heartbeat to send to every entry of `Audience()`.
+  /// The heartbeat to send to every entry of `HeartbeatTargets()`.
   Heartbeat MakeHeartbeat(HybridTime sent_at) const;
   /// Entries to send heartbeats to: all that are listed or former, but this one.
-  std::set<EntryId> Audience() const;
+  std::set<EntryId> HeartbeatTargets() const;
 
   PeerView View(const EntryId& peer, TimePoint now) const;
-  std::vector<EntryId> FreshPeers(TimePoint now) const;
+  std::vector<EntryId> ReachablePeers(TimePoint now) const;
 
   /// Whether this entry may own anything (units of limits, request ids). False until it has read
   /// the log to its end since its start.
@@ -127,16 +127,16 @@
  private:
   struct Peer {
     Heartbeat last;
-    TimePoint heard_at;
+    TimePoint last_contact;
   };
 
   Agreement AgreementOn(config_log::ConfigVersion by_all, const std::set<EntryId>& reached) const;
   void UpdateFormer(const EntryList& next);
-  bool MayKnow(const Heartbeat& heartbeat) const;
+  bool MayTrackSender(const Heartbeat& heartbeat) const;
   bool IsStale(const Peer& known, const Heartbeat& heartbeat, TimePoint now) const;
-  void TakeReports(const Heartbeat& heartbeat);
-  void NoteAgreement();
-  void ReleaseGone(TimePoint now);
+  void ApplyReports(const Heartbeat& heartbeat);
+  void UpdateAgreement();
+  void RemoveEndedGone(TimePoint now);
 
   Self self;
   MembershipGuards guards;
@@ -144,7 +144,7 @@
   /// Former entries, of the list and of this life's earlier lists, that are still awaited.
   std::set<EntryId> former;
   /// Former entries that have come to a version that all have reached.
-  std::set<EntryId> released;
+  std::set<EntryId> retired;
   /// Gone entries that are still awaited to have settled, until a time on the own clock; no time
   /// before the first tick after the news.
   std::map<EntryId, std::optional<TimePoint>> gone_until;
--- a/src/entry/operator_api.cc
+++ b/src/entry/operator_api.cc
@@ -280,13 +280,13 @@
       continue;
     }
     const membership::PeerView view = this->parts.peers.View(id);
-    const bool is_known = view.freshness != membership::Freshness::kUnknown;
+    const bool is_known = view.reachability != membership::Reachability::kUnknown;
     const auto age =
-        std::chrono::duration_cast<std::chrono::milliseconds>(now - view.heard_at).count();
+        std::chrono::duration_cast<std::chrono::milliseconds>(now - view.last_contact).count();
     rows.push_back({{"entry", id.text},
                     {"zone", entry.zone.text},
                     {"http_address", entry.http_address},
-                    {"fresh", view.freshness == membership::Freshness::kFresh},
+                    {"fresh", view.reachability == membership::Reachability::kReachable},
                     {"age_ms", is_known ? json::value(age) : json::value(nullptr)},
                     {"offset", view.last.next_offset},
                     {"version", view.last.applied_version}});
--- a/src/entry/peer_plane.cc
+++ b/src/entry/peer_plane.cc
@@ -61,14 +61,14 @@
 }
 
 bool PeerPlane::IsHeard(const EntryId& entry) {
-  return this->View(entry).freshness == membership::Freshness::kFresh;
+  return this->View(entry).reachability == membership::Reachability::kReachable;
 }
 
 void PeerPlane::Broadcast(const rpc::PeerBody& body) {
   std::set<EntryId> audience;
   {
     const std::lock_guard lock(this->mutex);
-    audience = this->membership.Audience();
+    audience = this->membership.HeartbeatTargets();
   }
   for (const EntryId& entry : audience) {
     this->SendTo(entry, body);
@@ -101,7 +101,7 @@
   std::vector<EntryId> lenders;
   {
     const std::lock_guard lock(this->mutex);
-    lenders = this->membership.FreshPeers(this->context.Now());
+    lenders = this->membership.ReachablePeers(this->context.Now());
     std::stable_sort(lenders.begin(), lenders.end(), [this](const auto& left, const auto& right) {
       return (this->zones[left] == this->context.self.zone) >
              (this->zones[right] == this->context.self.zone);
@@ -190,7 +190,7 @@
     const TimePoint now = this->context.Now();
     for (const auto& [entry, address] : this->addresses) {
       const membership::PeerView view = this->membership.View(entry, now);
-      if (view.freshness == membership::Freshness::kFresh &&
+      if (view.reachability == membership::Reachability::kReachable &&
           view.last.next_offset > this->own_offset) {
         ask.insert(address);
       }
@@ -264,13 +264,13 @@
 void PeerPlane::OnHeartbeat(const membership::Heartbeat& heartbeat) {
   this->WatchClock(heartbeat);
   this->context.events.Observe(heartbeat.sent_at, this->context.WallNow());
-  membership::HeartbeatNews news = membership::HeartbeatNews::kNothing;
+  membership::HeartbeatOutcome news = membership::HeartbeatOutcome::kKnownIncarnation;
   {
     const std::lock_guard lock(this->mutex);
     news = this->membership.OnHeartbeat(heartbeat, this->context.Now());
   }
-  if (news == membership::HeartbeatNews::kNewPeer ||
-      news == membership::HeartbeatNews::kNewIncarnation) {
+  if (news == membership::HeartbeatOutcome::kNewPeer ||
+      news == membership::HeartbeatOutcome::kNewIncarnation) {
     this->context.Note({.kind = telemetry::EventKind::kPeerUp,
                         .why = "entry " + heartbeat.from.text + " was heard in a new life"});
     this->UpdateLenders();
@@ -293,8 +293,8 @@
   const TimePoint now = this->context.Now();
   for (const auto& [entry, zone] : this->zones) {
     const membership::PeerView view = this->membership.View(entry, now);
-    const bool was_heard =
-        view.freshness != membership::Freshness::kUnknown && now - view.heard_at <= kViewBound;
+    const bool was_heard = view.reachability != membership::Reachability::kUnknown &&
+                           now - view.last_contact <= kViewBound;
     if (was_heard && view.last.next_offset <= this->own_offset) {
       in_agreement.insert(zone);
     }
@@ -307,13 +307,14 @@
   const TimePoint now = this->context.Now();
   return std::any_of(this->zones.begin(), this->zones.end(), [&](const auto& entry) {
     const membership::PeerView view = this->membership.View(entry.first, now);
-    return view.freshness != membership::Freshness::kUnknown && now - view.heard_at <= span;
+    return view.reachability != membership::Reachability::kUnknown &&
+           now - view.last_contact <= span;
   });
 }
 
 std::set<EntryId> PeerPlane::LiveEntries() {
   const std::lock_guard lock(this->mutex);
-  const std::vector<EntryId> fresh = this->membership.FreshPeers(this->context.Now());
+  const std::vector<EntryId> fresh = this->membership.ReachablePeers(this->context.Now());
   std::set<EntryId> live(fresh.begin(), fresh.end());
   live.insert(this->context.self.id);
   return live;
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -13,7 +13,7 @@
 constexpr std::size_t kMaxUnlistedPeers = 64;
 
 /// Covers the start window of a task, which may be longer than a short loan, and clock drift.
-constexpr Duration kLongestRunMargin = std::chrono::seconds(3);
+constexpr Duration kRunDurationMargin = std::chrono::seconds(3);
 
 }  // namespace
 
@@ -26,8 +26,8 @@
   list.former = state.former_entries;
   list.gone = state.gone_entries;
   const inventory::ServiceRules& rules = state.inventory.service_rules;
-  list.longest_run =
-      rules.loan_lease + rules.max_task_lease + rules.max_clock_skew + kLongestRunMargin;
+  list.max_run_duration =
+      rules.loan_lease + rules.max_task_lease + rules.max_clock_skew + kRunDurationMargin;
   return list;
 }
 
@@ -47,9 +47,9 @@
     this->settled.clear();
   }
   for (const auto& [id, peer] : this->peers) {
-    this->TakeReports(peer.last);
+    this->ApplyReports(peer.last);
   }
-  this->NoteAgreement();
+  this->UpdateAgreement();
 }
 
 void Membership::UpdateFormer(const EntryList& next) {
@@ -58,13 +58,13 @@
   }
   this->former.insert(this->list.entries.begin(), this->list.entries.end());
   for (const EntryId& id : next.former) {
-    if (!this->released.contains(id)) {
+    if (!this->retired.contains(id)) {
       this->former.insert(id);
     }
   }
   for (const EntryId& id : next.entries) {
     this->former.erase(id);
-    this->released.erase(id);
+    this->retired.erase(id);
   }
   for (const EntryId& id : next.gone) {
     const bool was_awaited = this->former.erase(id) > 0;
@@ -84,30 +84,30 @@
 
 void Membership::OnSettled(config_log::ConfigVersion version) {
   this->settled_version = std::max(this->settled_version, version);
-  this->NoteAgreement();
+  this->UpdateAgreement();
 }
 
-HeartbeatNews Membership::OnHeartbeat(const Heartbeat& heartbeat, TimePoint now) {
-  if (heartbeat.from == this->self.id || !this->MayKnow(heartbeat)) {
-    return HeartbeatNews::kIgnored;
+HeartbeatOutcome Membership::OnHeartbeat(const Heartbeat& heartbeat, TimePoint now) {
+  if (heartbeat.from == this->self.id || !this->MayTrackSender(heartbeat)) {
+    return HeartbeatOutcome::kIgnored;
   }
   const auto found = this->peers.find(heartbeat.from);
   if (found != this->peers.end() && this->IsStale(found->second, heartbeat, now)) {
-    return HeartbeatNews::kIgnored;
+    return HeartbeatOutcome::kIgnored;
   }
-  HeartbeatNews news = HeartbeatNews::kNothing;
+  HeartbeatOutcome outcome = HeartbeatOutcome::kKnownIncarnation;
   if (found == this->peers.end()) {
-    news = HeartbeatNews::kNewPeer;
+    outcome = HeartbeatOutcome::kNewPeer;
   } else if (found->second.last.incarnation != heartbeat.incarnation) {
-    news = HeartbeatNews::kNewIncarnation;
+    outcome = HeartbeatOutcome::kNewIncarnation;
   }
   this->peers[heartbeat.from] = Peer{heartbeat, now};
-  this->TakeReports(heartbeat);
-  this->NoteAgreement();
-  return news;
+  this->ApplyReports(heartbeat);
+  this->UpdateAgreement();
+  return outcome;
 }
 
-bool Membership::MayKnow(const Heartbeat& heartbeat) const {
+bool Membership::MayTrackSender(const Heartbeat& heartbeat) const {
   const EntryId& from = heartbeat.from;
   if (this->list.entries.contains(from) || this->former.contains(from) ||
       this->peers.contains(from)) {
@@ -124,10 +124,10 @@
   }
   // The replacement's wall clock may be behind its predecessor's. Once the predecessor is silent,
   // any other life is the newer one.
-  return heartbeat.incarnation < known.last.incarnation && now - known.heard_at < kSilentAfter;
+  return heartbeat.incarnation < known.last.incarnation && now - known.last_contact < kPeerTimeout;
 }
 
-void Membership::TakeReports(const Heartbeat& heartbeat) {
+void Membership::ApplyReports(const Heartbeat& heartbeat) {
   const config_log::ConfigVersion version = this->list.version;
   if (heartbeat.applied_version == version) {
     this->applied.insert(heartbeat.from);
@@ -143,19 +143,20 @@
   }
 }
 
-void Membership::NoteAgreement() {
+void Membership::UpdateAgreement() {
   if (this->Applied().IsReachedByAll()) {
     this->applied_by_all = this->list.version;
   }
   if (this->Settled().IsReachedByAll()) {
     this->settled_by_all = this->list.version;
   }
-  const bool both = this->list.version > 0 && this->applied_by_all == this->list.version &&
-                    this->settled_by_all == this->list.version;
-  if (both) {
+  const bool is_reached_and_settled = this->list.version > 0 &&
+                                      this->applied_by_all == this->list.version &&
+                                      this->settled_by_all == this->list.version;
+  if (is_reached_and_settled) {
     // A former entry that has come to this version owns nothing from here on, until it is listed
     // again; it may be switched off.
-    this->released.insert(this->former.begin(), this->former.end());
+    this->retired.insert(this->former.begin(), this->former.end());
     this->former.clear();
   }
 }
@@ -164,21 +165,21 @@
   CHERVILSPAR_ASSERT(now >= this->last_tick);
   const Pause pause{this->last_tick, now};
   this->last_tick = now;
-  this->ReleaseGone(now);
+  this->RemoveEndedGone(now);
   if (pause.until - pause.from < kPauseThreshold) {
     return std::nullopt;
   }
   return pause;
 }
 
-void Membership::ReleaseGone(TimePoint now) {
+void Membership::RemoveEndedGone(TimePoint now) {
   for (auto gone = this->gone_until.begin(); gone != this->gone_until.end();) {
     if (!gone->second) {
-      gone->second = now + this->list.longest_run;
+      gone->second = now + this->list.max_run_duration;
     }
     gone = *gone->second <= now ? this->gone_until.erase(gone) : std::next(gone);
   }
-  this->NoteAgreement();
+  this->UpdateAgreement();
 }
 
 Heartbeat Membership::MakeHeartbeat(HybridTime sent_at) const {
@@ -196,11 +197,11 @@
   return heartbeat;
 }
 
-std::set<EntryId> Membership::Audience() const {
-  std::set<EntryId> audience = this->list.entries;
-  audience.insert(this->former.begin(), this->former.end());
-  audience.erase(this->self.id);
-  return audience;
+std::set<EntryId> Membership::HeartbeatTargets() const {
+  std::set<EntryId> targets = this->list.entries;
+  targets.insert(this->former.begin(), this->former.end());
+  targets.erase(this->self.id);
+  return targets;
 }
 
 PeerView Membership::View(const EntryId& peer, TimePoint now) const {
@@ -208,19 +209,19 @@
   if (found == this->peers.end()) {
     return {};
   }
-  const bool is_fresh = now - found->second.heard_at < kSilentAfter;
-  return {is_fresh ? Freshness::kFresh : Freshness::kSilent, found->second.last,
-          found->second.heard_at};
+  const bool is_reachable = now - found->second.last_contact < kPeerTimeout;
+  return {is_reachable ? Reachability::kReachable : Reachability::kUnresponsive, found->second.last,
+          found->second.last_contact};
 }
 
-std::vector<EntryId> Membership::FreshPeers(TimePoint now) const {
-  std::vector<EntryId> fresh;
+std::vector<EntryId> Membership::ReachablePeers(TimePoint now) const {
+  std::vector<EntryId> reachable;
   for (const auto& [id, peer] : this->peers) {
-    if (now - peer.heard_at < kSilentAfter) {
-      fresh.push_back(id);
+    if (now - peer.last_contact < kPeerTimeout) {
+      reachable.push_back(id);
     }
   }
-  return fresh;
+  return reachable;
 }
 
 bool Membership::MayOwn() const {
@@ -254,9 +255,9 @@
   if (by_all == this->list.version) {
     return agreement;
   }
-  std::set<EntryId> asked = this->list.entries;
-  asked.insert(this->former.begin(), this->former.end());
-  std::set_difference(asked.begin(), asked.end(), reached.begin(), reached.end(),
+  std::set<EntryId> expected = this->list.entries;
+  expected.insert(this->former.begin(), this->former.end());
+  std::set_difference(expected.begin(), expected.end(), reached.begin(), reached.end(),
                       std::inserter(agreement.awaiting, agreement.awaiting.end()));
   return agreement;
 }
--- a/tests/membership/membership_test.cc
+++ b/tests/membership/membership_test.cc
@@ -13,11 +13,11 @@
   return TimePoint(Duration(static_cast<std::int64_t>(seconds * 1e6)));
 }
 
-Incarnation Life(std::uint64_t number) {
+Incarnation IncarnationOf(std::uint64_t number) {
   return {WallTime(std::chrono::seconds(1000 + number)), number};
 }
 
-Self Me() { return {EntryId{"e1"}, Life(1), ZoneId{"a"}}; }
+Self Me() { return {EntryId{"e1"}, IncarnationOf(1), ZoneId{"a"}}; }
 
 std::set<EntryId> Entries(const std::vector<std::string>& names) {
   std::set<EntryId> entries;
@@ -34,15 +34,15 @@
   return list;
 }
 
-Heartbeat Beat(const std::string& from, config_log::ConfigVersion version, double sent_at = 1,
-               std::uint64_t life = 1) {
-  Heartbeat beat;
-  beat.from = EntryId{from};
-  beat.incarnation = Life(life);
-  beat.applied_version = version;
-  beat.settled_version = version;
-  beat.sent_at.wall = WallTime(Duration(static_cast<std::int64_t>(sent_at * 1e6)));
-  return beat;
+Heartbeat HeartbeatOf(const std::string& from, config_log::ConfigVersion version,
+                      double sent_at = 1, std::uint64_t incarnation = 1) {
+  Heartbeat heartbeat;
+  heartbeat.from = EntryId{from};
+  heartbeat.incarnation = IncarnationOf(incarnation);
+  heartbeat.applied_version = version;
+  heartbeat.settled_version = version;
+  heartbeat.sent_at.wall = WallTime(Duration(static_cast<std::int64_t>(sent_at * 1e6)));
+  return heartbeat;
 }
 
 struct AgreementCase {
@@ -75,50 +75,56 @@
   return list;
 }
 
-Heartbeat Vouching(Heartbeat beat, config_log::ConfigVersion version) {
-  beat.applied_by_all = version;
-  return beat;
+Heartbeat ReportingAppliedByAll(Heartbeat heartbeat, config_log::ConfigVersion version) {
+  heartbeat.applied_by_all = version;
+  return heartbeat;
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Cases, AgreementTest,
-    testing::Values(
-        AgreementCase{"NobodyHeard", {List(1, {"e1", "e2", "e3"})}, {}, {"e2", "e3"}},
-        AgreementCase{
-            "AllHeard", {List(1, {"e1", "e2", "e3"})}, {Beat("e2", 1), Beat("e3", 1)}, {}},
-        AgreementCase{
-            "OneBehind", {List(2, {"e1", "e2", "e3"})}, {Beat("e2", 2), Beat("e3", 1)}, {"e3"}},
-        AgreementCase{"OneAheadNeverPromisedThis",
-                      {List(2, {"e1", "e2", "e3"})},
-                      {Beat("e2", 2), Beat("e3", 3)},
-                      {"e3"}},
-        AgreementCase{"RemovedIsStillAwaited",
-                      {List(1, {"e1", "e2", "e3"}), List(2, {"e1", "e2"})},
-                      {Beat("e2", 2)},
-                      {"e3"}},
-        AgreementCase{"RemovedBeforeThisLife",
-                      {WithFormer(List(2, {"e1", "e2"}), {"e3"})},
-                      {Beat("e2", 2)},
-                      {"e3"}},
-        AgreementCase{"RemovedAndConfirmed",
-                      {List(1, {"e1", "e2", "e3"}), List(2, {"e1", "e2"})},
-                      {Beat("e2", 2), Beat("e3", 2)},
-                      {}},
-        AgreementCase{"DeclaredGone",
-                      {List(1, {"e1", "e2", "e3"}), WithGone(List(2, {"e1", "e2"}), {"e3"})},
-                      {Beat("e2", 2)},
-                      {}},
-        AgreementCase{"DeclaredGoneWithinTheVersion",
-                      {List(1, {"e1", "e2", "e3"}), List(2, {"e1", "e2"}),
-                       WithGone(List(2, {"e1", "e2"}), {"e3"})},
-                      {Beat("e2", 2)},
-                      {}},
-        AgreementCase{
-            "VouchedFor", {List(2, {"e1", "e2", "e3"})}, {Vouching(Beat("e2", 2), 2)}, {}},
-        AgreementCase{"VouchedForAnOlderOne",
-                      {List(2, {"e1", "e2", "e3"})},
-                      {Vouching(Beat("e2", 2), 1)},
-                      {"e3"}}),
+    testing::Values(AgreementCase{"NobodyHeard", {List(1, {"e1", "e2", "e3"})}, {}, {"e2", "e3"}},
+                    AgreementCase{"AllHeard",
+                                  {List(1, {"e1", "e2", "e3"})},
+                                  {HeartbeatOf("e2", 1), HeartbeatOf("e3", 1)},
+                                  {}},
+                    AgreementCase{"OneBehind",
+                                  {List(2, {"e1", "e2", "e3"})},
+                                  {HeartbeatOf("e2", 2), HeartbeatOf("e3", 1)},
+                                  {"e3"}},
+                    AgreementCase{"OneAheadNeverPromisedThis",
+                                  {List(2, {"e1", "e2", "e3"})},
+                                  {HeartbeatOf("e2", 2), HeartbeatOf("e3", 3)},
+                                  {"e3"}},
+                    AgreementCase{"RemovedIsStillAwaited",
+                                  {List(1, {"e1", "e2", "e3"}), List(2, {"e1", "e2"})},
+                                  {HeartbeatOf("e2", 2)},
+                                  {"e3"}},
+                    AgreementCase{"RemovedBeforeThisLife",
+                                  {WithFormer(List(2, {"e1", "e2"}), {"e3"})},
+                                  {HeartbeatOf("e2", 2)},
+                                  {"e3"}},
+                    AgreementCase{"RemovedAndConfirmed",
+                                  {List(1, {"e1", "e2", "e3"}), List(2, {"e1", "e2"})},
+                                  {HeartbeatOf("e2", 2), HeartbeatOf("e3", 2)},
+                                  {}},
+                    AgreementCase{
+                        "DeclaredGone",
+                        {List(1, {"e1", "e2", "e3"}), WithGone(List(2, {"e1", "e2"}), {"e3"})},
+                        {HeartbeatOf("e2", 2)},
+                        {}},
+                    AgreementCase{"DeclaredGoneWithinTheVersion",
+                                  {List(1, {"e1", "e2", "e3"}), List(2, {"e1", "e2"}),
+                                   WithGone(List(2, {"e1", "e2"}), {"e3"})},
+                                  {HeartbeatOf("e2", 2)},
+                                  {}},
+                    AgreementCase{"VouchedFor",
+                                  {List(2, {"e1", "e2", "e3"})},
+                                  {ReportingAppliedByAll(HeartbeatOf("e2", 2), 2)},
+                                  {}},
+                    AgreementCase{"VouchedForAnOlderOne",
+                                  {List(2, {"e1", "e2", "e3"})},
+                                  {ReportingAppliedByAll(HeartbeatOf("e2", 2), 1)},
+                                  {"e3"}}),
     [](const auto& info) { return info.param.name; });
 
 TEST(MembershipTest, RemovedEntryThatHasConfirmedNeedNotConfirmLaterVersions) {
@@ -127,78 +133,88 @@
   membership.OnConfiguration(List(2, {"e1"}));
   membership.OnSettled(2);
   EXPECT_FALSE(membership.Applied().IsReachedByAll());
-  membership.OnHeartbeat(Beat("e2", 2), At(1));
+  membership.OnHeartbeat(HeartbeatOf("e2", 2), At(1));
   EXPECT_TRUE(membership.Applied().IsReachedByAll());
   membership.OnConfiguration(WithFormer(List(3, {"e1"}), {"e2"}));
   EXPECT_TRUE(membership.Applied().IsReachedByAll());
 }
 
-struct LifeCase {
+struct IncarnationCase {
   std::string name;
   std::vector<Heartbeat> earlier;
   Heartbeat heartbeat;
   double at;
-  HeartbeatNews news;
+  HeartbeatOutcome outcome;
 };
 
-class LifeTest : public testing::TestWithParam<LifeCase> {};
+class IncarnationTest : public testing::TestWithParam<IncarnationCase> {};
 
-TEST_P(LifeTest, TellsLivesApart) {
+TEST_P(IncarnationTest, DistinguishesIncarnations) {
   Membership membership(Me(), At(0));
   membership.OnConfiguration(List(1, {"e1", "e2"}));
   for (const Heartbeat& heartbeat : GetParam().earlier) {
     membership.OnHeartbeat(heartbeat, At(1));
   }
-  EXPECT_EQ(membership.OnHeartbeat(GetParam().heartbeat, At(GetParam().at)), GetParam().news);
+  EXPECT_EQ(membership.OnHeartbeat(GetParam().heartbeat, At(GetParam().at)), GetParam().outcome);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Cases, LifeTest,
+    Cases, IncarnationTest,
     testing::Values(
-        LifeCase{"First", {}, Beat("e2", 1), 1, HeartbeatNews::kNewPeer},
-        LifeCase{"Next", {Beat("e2", 1, 1)}, Beat("e2", 1, 2), 2, HeartbeatNews::kNothing},
-        LifeCase{"Reordered", {Beat("e2", 1, 2)}, Beat("e2", 1, 1), 2, HeartbeatNews::kIgnored},
-        LifeCase{"Replaced",
-                 {Beat("e2", 1, 1, 1)},
-                 Beat("e2", 1, 1, 2),
-                 2,
-                 HeartbeatNews::kNewIncarnation},
-        LifeCase{"LateWordOfTheOldLife",
-                 {Beat("e2", 1, 1, 2)},
-                 Beat("e2", 1, 9, 1),
-                 2,
-                 HeartbeatNews::kIgnored},
-        LifeCase{"ReplacementWithASlowClock",
-                 {Beat("e2", 1, 9, 2)},
-                 Beat("e2", 1, 1, 1),
-                 4,
-                 HeartbeatNews::kNewIncarnation},
-        LifeCase{"Stranger", {}, Beat("e9", 1), 1, HeartbeatNews::kIgnored},
-        LifeCase{"NewlyListedElsewhere", {}, Beat("e9", 2), 1, HeartbeatNews::kNewPeer},
-        LifeCase{"Itself", {}, Beat("e1", 1), 1, HeartbeatNews::kIgnored}),
+        IncarnationCase{"First", {}, HeartbeatOf("e2", 1), 1, HeartbeatOutcome::kNewPeer},
+        IncarnationCase{"Next",
+                        {HeartbeatOf("e2", 1, 1)},
+                        HeartbeatOf("e2", 1, 2),
+                        2,
+                        HeartbeatOutcome::kKnownIncarnation},
+        IncarnationCase{"Reordered",
+                        {HeartbeatOf("e2", 1, 2)},
+                        HeartbeatOf("e2", 1, 1),
+                        2,
+                        HeartbeatOutcome::kIgnored},
+        IncarnationCase{"Replaced",
+                        {HeartbeatOf("e2", 1, 1, 1)},
+                        HeartbeatOf("e2", 1, 1, 2),
+                        2,
+                        HeartbeatOutcome::kNewIncarnation},
+        IncarnationCase{"LateWordOfTheOldLife",
+                        {HeartbeatOf("e2", 1, 1, 2)},
+                        HeartbeatOf("e2", 1, 9, 1),
+                        2,
+                        HeartbeatOutcome::kIgnored},
+        IncarnationCase{"ReplacementWithASlowClock",
+                        {HeartbeatOf("e2", 1, 9, 2)},
+                        HeartbeatOf("e2", 1, 1, 1),
+                        4,
+                        HeartbeatOutcome::kNewIncarnation},
+        IncarnationCase{"Stranger", {}, HeartbeatOf("e9", 1), 1, HeartbeatOutcome::kIgnored},
+        IncarnationCase{
+            "NewlyListedElsewhere", {}, HeartbeatOf("e9", 2), 1, HeartbeatOutcome::kNewPeer},
+        IncarnationCase{"Itself", {}, HeartbeatOf("e1", 1), 1, HeartbeatOutcome::kIgnored}),
     [](const auto& info) { return info.param.name; });
 
-struct FreshnessCase {
+struct ReachabilityCase {
   std::string name;
-  double heard_ago;
-  Freshness freshness;
+  double since_last_contact;
+  Reachability reachability;
 };
 
-class FreshnessTest : public testing::TestWithParam<FreshnessCase> {};
+class ReachabilityTest : public testing::TestWithParam<ReachabilityCase> {};
 
-TEST_P(FreshnessTest, ComesFromTheOwnClock) {
+TEST_P(ReachabilityTest, ComesFromTheOwnClock) {
   Membership membership(Me(), At(0));
   membership.OnConfiguration(List(1, {"e1", "e2"}));
-  membership.OnHeartbeat(Beat("e2", 1), At(10));
-  EXPECT_EQ(membership.View(EntryId{"e2"}, At(10 + GetParam().heard_ago)).freshness,
-            GetParam().freshness);
+  membership.OnHeartbeat(HeartbeatOf("e2", 1), At(10));
+  EXPECT_EQ(membership.View(EntryId{"e2"}, At(10 + GetParam().since_last_contact)).reachability,
+            GetParam().reachability);
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, FreshnessTest,
-                         testing::Values(FreshnessCase{"JustHeard", 0, Freshness::kFresh},
-                                         FreshnessCase{"ThreeLost", 1.9, Freshness::kFresh},
-                                         FreshnessCase{"FourLost", 2.0, Freshness::kSilent}),
-                         [](const auto& info) { return info.param.name; });
+INSTANTIATE_TEST_SUITE_P(
+    Cases, ReachabilityTest,
+    testing::Values(ReachabilityCase{"JustHeard", 0, Reachability::kReachable},
+                    ReachabilityCase{"ThreeLost", 1.9, Reachability::kReachable},
+                    ReachabilityCase{"FourLost", 2.0, Reachability::kUnresponsive}),
+    [](const auto& info) { return info.param.name; });
 
 // The process is stopped for a while and knows nothing of it but by its clock. On what it knew
 // before it would send work to endpoints that have left meanwhile.
--- a/tests/prove/entry_log.cc
+++ b/tests/prove/entry_log.cc
@@ -186,7 +186,7 @@
   if (this->overlay.Pending().empty()) {
     return;
   }
-  for (const EntryId& peer : this->membership.Audience()) {
+  for (const EntryId& peer : this->membership.HeartbeatTargets()) {
     this->Send(peer,
                [keys = this->overlay.Pending()](EntryProcess& to) { to.OnPeerWithdrawals(keys); });
   }
--- a/tests/prove/entry_maintenance.cc
+++ b/tests/prove/entry_maintenance.cc
@@ -124,7 +124,7 @@
 
 maintenance::Observations EntryProcess::Observe() const {
   maintenance::Observations observations;
-  for (const EntryId& peer : this->membership.FreshPeers(this->Now())) {
+  for (const EntryId& peer : this->membership.ReachablePeers(this->Now())) {
     observations.live_entries.insert(peer);
   }
   observations.live_entries.insert(this->self.id);
--- a/tests/prove/entry_process.cc
+++ b/tests/prove/entry_process.cc
@@ -108,7 +108,7 @@
 
 void EntryProcess::Beat() {
   const membership::Heartbeat beat = this->membership.MakeHeartbeat({this->Wall(), 0});
-  for (const EntryId& peer : this->membership.Audience()) {
+  for (const EntryId& peer : this->membership.HeartbeatTargets()) {
     this->Send(peer, [beat](EntryProcess& to) { to.OnHeartbeat(beat); });
   }
 }
@@ -131,7 +131,7 @@
   this->membership.OnSettled(this->quota.SettledVersion(this->Now()));
   this->quota.OnSettled(this->membership.Settled(), this->Now());
   this->registry.OnApplied(this->membership.Applied(), this->Wall());
-  this->quota.SetLenders(this->membership.FreshPeers(this->Now()));
+  this->quota.SetLenders(this->membership.ReachablePeers(this->Now()));
 }
 
 void EntryProcess::Send(const EntryId& to, std::function<void(EntryProcess&)> deliver) {
