--- a/include/chervilspar/membership/guard.h
+++ b/include/chervilspar/membership/guard.h
@@ -2,9 +2,8 @@
 
 namespace chervilspar::membership {
 
-/// Whether a safety mechanism is in place. It is always `kOn` in the product: no flag, environment
-/// variable or record reaches these fields. Tests take one mechanism out to show that the proof
-/// fails without it.
+/// Whether a safety mechanism is enabled. It is always `kOn` in production: no flag, environment
+/// variable or record sets it. Tests disable one mechanism to show that they fail without it.
 enum class Guard { kOn, kOff };
 
 }  // namespace chervilspar::membership
--- a/include/chervilspar/membership/heartbeat.h
+++ b/include/chervilspar/membership/heartbeat.h
@@ -9,25 +9,26 @@
 
 namespace chervilspar::membership {
 
-/// Whether an entry has read the log to its end since it started. A state taken over from a peer
-/// does not count: the peer may be behind what this entry's predecessor had confirmed.
+/// Whether an entry has read the log to its end since it started. A state copied from a peer
+/// doesn't count, since it may be older than what this entry's predecessor confirmed.
 enum class LogProgress { kCatchingUp, kReadToEnd };
 
-/// What an entry tells every other entry, about twice a second. About 100 bytes encoded.
+/// The status that an entry sends to every other entry each `kHeartbeatInterval`. Encoded, it takes
+/// about 100 bytes.
 struct Heartbeat {
   EntryId from;
   Incarnation incarnation;
   ZoneId zone;
-  /// Offset of the next record to fold.
+  /// Log offset of the next record to apply.
   config_log::Offset next_offset = 0;
   LogProgress log_progress = LogProgress::kCatchingUp;
-  /// The configuration that the sender acts by. It acts by no older one from here on.
+  /// The configuration that the sender has applied. It never goes back to an older one.
   config_log::ConfigVersion applied_version = 0;
-  /// The newest configuration within whose split of limits the sender's use has come.
+  /// The newest configuration whose split of limits covers the units that the sender uses.
   config_log::ConfigVersion settled_version = 0;
   /// The newest version that the sender knows every entry to have applied; zero for none.
   config_log::ConfigVersion applied_by_all = 0;
-  /// The newest version within which the sender knows every entry to have settled; zero for none.
+  /// The newest version in which the sender knows every entry to have settled; zero for none.
   config_log::ConfigVersion settled_by_all = 0;
   HybridTime sent_at;
 
--- a/include/chervilspar/membership/incarnation.h
+++ b/include/chervilspar/membership/incarnation.h
@@ -7,11 +7,12 @@
 
 namespace chervilspar::membership {
 
-/// One life of an entry. A restarted or replaced entry keeps its `EntryId` and gets a new
-/// incarnation, so that messages meant for, or sent by, its predecessor can be told apart.
+/// Identifies one process start of an entry. A restarted or replaced entry keeps its `EntryId` and
+/// gets a new incarnation, which distinguishes its messages from those of its predecessor.
 ///
-/// The wall time orders the lives of one entry as long as its VMs' clocks do; the nonce separates
-/// two starts in the same microsecond. No safety rule depends on the order, only on equality.
+/// The wall time orders the incarnations of one entry as far as the clocks of its VMs agree; the
+/// nonce separates two starts in the same microsecond. No safety rule depends on the order, only on
+/// equality.
 struct Incarnation {
   WallTime started;
   std::uint64_t nonce = 0;
--- a/include/chervilspar/membership/membership.h
+++ b/include/chervilspar/membership/membership.h
@@ -13,27 +13,27 @@
 
 namespace chervilspar::membership {
 
-/// Time between two heartbeats to the same peer. Twice a second keeps a change of configuration
-/// within 3 s even when two heartbeats in a row are lost.
+/// Time between two heartbeats to the same peer. At this interval a configuration change completes
+/// within 3 s even when two consecutive heartbeats are lost.
 inline constexpr Duration kHeartbeatInterval = std::chrono::milliseconds(500);
 
-/// A peer unheard for this long is silent: four heartbeats were lost in a row.
+/// A peer without a heartbeat for this long is unresponsive: four in a row were lost.
 inline constexpr Duration kPeerTimeout = std::chrono::seconds(2);
 
-/// A gap between two ticks that counts as a pause of this process.
+/// Minimum time between two ticks that counts as a pause of this process.
 inline constexpr Duration kPauseThreshold = std::chrono::seconds(1);
 
-/// This process, for its whole life.
+/// The identity of this process; constant while it runs.
 struct Self {
   EntryId id;
   Incarnation incarnation;
   ZoneId zone;
 };
 
-/// The entries of a folded state.
+/// The entries of a state that was built from the log.
 EntryList EntryListOf(const config_log::FleetState& state);
 
-/// Safety mechanisms of `Membership` that a test may take out.
+/// Safety mechanisms of `Membership` that a test may disable.
 struct MembershipGuards {
   /// An entry owns nothing until it has read the log to its end since its start.
   Guard read_to_end = Guard::kOn;
@@ -41,68 +41,75 @@
   Guard await_former = Guard::kOn;
 };
 
+/// Whether a peer responds, by the time of its last heartbeat.
 enum class Reachability {
-  /// Never heard of in this life.
+  /// No heartbeat received since this process started.
   kUnknown,
-  /// Heard of within `kPeerTimeout`.
+  /// The last heartbeat came less than `kPeerTimeout` ago.
   kReachable,
-  /// Heard of, but not lately: paused, cut off or gone. Which of these can't be told, so that
-  /// silence never frees anything that the peer may hold.
+  /// The last heartbeat is older: the peer is paused, cut off or gone. As these can't be
+  /// distinguished, a missing heartbeat never frees anything that the peer may hold.
   kUnresponsive,
 };
 
-/// What this entry knows of another.
+/// The last known state of a peer.
 struct PeerView {
   Reachability reachability = Reachability::kUnknown;
   /// The peer's last heartbeat; empty fields when unknown.
   Heartbeat last;
-  /// Own monotonic time at which it came.
+  /// When the last heartbeat came, by this process's monotonic clock.
   TimePoint last_contact;
 };
 
-/// What a heartbeat told that was not known before.
+/// How a received heartbeat was handled.
 enum class HeartbeatOutcome {
+  /// The peer's incarnation was already known; its state was updated.
   kKnownIncarnation,
-  /// First word of this peer in this life.
+  /// First heartbeat from this peer since this process started.
   kNewPeer,
-  /// The peer was restarted or replaced: what its predecessor was sent or asked is void.
+  /// The peer was restarted or replaced; requests to its predecessor are void.
   kNewIncarnation,
-  /// From an earlier life or from an unknown sender; nothing was taken over.
+  /// Sent by this entry, by an unknown sender or by an earlier incarnation, or out of order;
+  /// nothing
+  /// was updated.
   kIgnored,
 };
 
-/// A stop of this process that its own clock shows.
+/// A time during which this process was paused, by its own monotonic clock.
 struct Pause {
   TimePoint from;
   TimePoint until;
 };
 
-/// Each entry's knowledge of the others: who they are, how fresh the news of them is, what they
-/// have confirmed, and what this entry may do on that knowledge.
+/// Tracks the other entries: which there are, whether they respond, which configuration versions
+/// they have confirmed, and whether this entry may own units and request ids.
 ///
-/// Time comes in as the own monotonic clock, which runs on while the process is stopped; other
-/// entries' clocks are never compared with it.
+/// All times come from this process's monotonic clock, which advances while the process is paused.
+/// They are never compared with other entries' clocks.
 class Membership {
  public:
   Membership(Self self, TimePoint started, MembershipGuards guards = {});
 
-  /// A record was folded. Versions must not go back; an entry may be declared gone within one.
+  /// Applies the list of entries. Versions must not decrease; the list may change within one
+  /// version when an entry is declared gone.
   void OnConfiguration(const EntryList& list);
-  /// The log has been read to an end that was its end at a moment after this process's start.
+  /// Call when the log has been read to a position that was its end at some time after this process
+  /// started.
   void OnReadToEnd();
+  /// Sets the log offset of the next record to apply. Must not decrease.
   void OnFolded(config_log::Offset next_offset);
-  /// `quota::Quota` has come within the split of this configuration. Older news is passed over.
+  /// Takes the result of `quota::Quota::SettledVersion`. Ignores versions older than the last.
   void OnSettled(config_log::ConfigVersion version);
 
   HeartbeatOutcome OnHeartbeat(const Heartbeat& heartbeat, TimePoint now);
 
-  /// Call at least every `kHeartbeatInterval`. Tells of a pause of this process since the last
-  /// call.
+  /// Call at least every `kHeartbeatInterval`. Returns the time since the last call if it was a
+  /// pause of this process.
   std::optional<Pause> Tick(TimePoint now);
 
   /// The heartbeat to send to every entry of `HeartbeatTargets()`.
   Heartbeat MakeHeartbeat(HybridTime sent_at) const;
-  /// Entries to send heartbeats to: all that are listed or former, but this one.
+  /// Entries to send heartbeats to: all listed and former entries except this one.
   std::set<EntryId> HeartbeatTargets() const;
 
   PeerView View(const EntryId& peer, TimePoint now) const;
@@ -111,14 +118,15 @@
   /// Whether this entry may own anything (units of limits, request ids). False until it has read
   /// the log to its end since its start.
   ///
-  /// What goes wrong otherwise: an entry confirms a configuration that takes units from it and
-  /// dies; its replacement starts in an outage from a peer that still has the older configuration,
-  /// and uses units that another entry was given meanwhile. One notices a team above its limit.
+  /// An entry may confirm a configuration that takes units from it and then crash. If its
+  /// replacement starts during an outage of the log from a peer that still has the older
+  /// configuration, it would use units that another entry now owns, and the team would exceed its
+  /// limit.
   bool MayOwn() const;
 
-  /// Who acts by exactly the current configuration.
+  /// Which entries have applied exactly the current configuration.
   Agreement Applied() const;
-  /// Whose use is within the split of exactly the current configuration.
+  /// Which entries' use is covered by the split of exactly the current configuration.
   Agreement Settled() const;
 
   const Self& Me() const { return this->self; }
@@ -141,12 +149,13 @@
   Self self;
   MembershipGuards guards;
   EntryList list;
-  /// Former entries, of the list and of this life's earlier lists, that are still awaited.
+  /// Former entries, of this list and of earlier ones since the start, that are still awaited.
   std::set<EntryId> former;
-  /// Former entries that have come to a version that all have reached.
+  /// Former entries that are no longer awaited, as all entries had applied a version and settled in
+  /// it.
   std::set<EntryId> retired;
-  /// Gone entries that are still awaited to have settled, until a time on the own clock; no time
-  /// before the first tick after the news.
+  /// When each gone entry stops being awaited to settle, by this process's monotonic clock. Empty
+  /// until the first tick after the entry was declared gone.
   std::map<EntryId, std::optional<TimePoint>> gone_until;
   LogProgress log_progress = LogProgress::kCatchingUp;
   config_log::Offset next_offset = 0;
@@ -154,8 +163,9 @@
   config_log::ConfigVersion applied_by_all = 0;
   config_log::ConfigVersion settled_by_all = 0;
   std::map<EntryId, Peer> peers;
-  /// Who reported exactly the current version.
+  /// Entries that reported exactly the current version as applied.
   std::set<EntryId> applied;
+  /// Entries that reported exactly the current version as settled.
   std::set<EntryId> settled;
   TimePoint last_tick;
 };
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Most senders remembered that the current list doesn't name. An entry that is behind hears from
-/// entries that it can't know yet; a broken sender must not fill its memory.
+/// Maximum number of tracked senders that the current list doesn't contain. An entry that is behind
+/// gets heartbeats from entries that it doesn't know yet; a faulty sender must not fill its memory.
 constexpr std::size_t kMaxUnlistedPeers = 64;
 
 /// Covers the start window of a task, which may be longer than a short loan, and clock drift.
@@ -69,7 +69,7 @@
   for (const EntryId& id : next.gone) {
     const bool was_awaited = this->former.erase(id) > 0;
     if (was_awaited) {
-      // Its tasks may run on; they count as unsettled until they must have ended.
+      // Its tasks may still run, so that the entry counts as unsettled until they must have ended.
       this->gone_until.try_emplace(id, std::nullopt);
     }
   }
@@ -122,8 +122,8 @@
   if (heartbeat.incarnation == known.last.incarnation) {
     return heartbeat.sent_at < known.last.sent_at;
   }
-  // The replacement's wall clock may be behind its predecessor's. Once the predecessor is silent,
-  // any other life is the newer one.
+  // The replacement's wall clock may be behind its predecessor's. Once the predecessor is
+  // unresponsive, any other incarnation is the newer one.
   return heartbeat.incarnation < known.last.incarnation && now - known.last_contact < kPeerTimeout;
 }
 
@@ -154,8 +154,8 @@
                                       this->applied_by_all == this->list.version &&
                                       this->settled_by_all == this->list.version;
   if (is_reached_and_settled) {
-    // A former entry that has come to this version owns nothing from here on, until it is listed
-    // again; it may be switched off.
+    // A former entry that has reached this version owns nothing until it is listed again, and may
+    // be shut down.
     this->retired.insert(this->former.begin(), this->former.end());
     this->former.clear();
   }
--- a/src/quota/entitlement.h
+++ b/src/quota/entitlement.h
@@ -21,9 +21,10 @@
 /// while the old one, which is cut off and hasn't received the change, starts another. The team
 /// would then run one task above its limit.
 ///
-/// Counting for each entry the larger of the units that it owns and those that it uses, the sum is
-/// at most the limit: an entry raises its part under version w only when every other entry either
-/// settled in w or can't hold more than its part of w under any version that it may have applied.
+/// Counting for each entry the larger of the own units that it may use and those that it still
+/// uses, the sum is at most the limit: an entry raises its part under version w only when every
+/// other entry either settled in w or can't hold more than its part of w under any version that it
+/// may have applied.
 class Entitlement {
  public:
   Entitlement(EntryId self, membership::Guard joint_rule);
--- a/tests/membership/membership_test.cc
+++ b/tests/membership/membership_test.cc
@@ -54,7 +54,7 @@
 
 class AgreementTest : public testing::TestWithParam<AgreementCase> {};
 
-TEST_P(AgreementTest, AwaitsWhoMayStillActByAnOlderConfiguration) {
+TEST_P(AgreementTest, AwaitsEntriesThatMayStillApplyAnOlderConfiguration) {
   Membership membership(Me(), At(0));
   for (const EntryList& list : GetParam().lists) {
     membership.OnConfiguration(list);
@@ -82,8 +82,8 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Cases, AgreementTest,
-    testing::Values(AgreementCase{"NobodyHeard", {List(1, {"e1", "e2", "e3"})}, {}, {"e2", "e3"}},
-                    AgreementCase{"AllHeard",
+    testing::Values(AgreementCase{"NoHeartbeat", {List(1, {"e1", "e2", "e3"})}, {}, {"e2", "e3"}},
+                    AgreementCase{"AllReported",
                                   {List(1, {"e1", "e2", "e3"})},
                                   {HeartbeatOf("e2", 1), HeartbeatOf("e3", 1)},
                                   {}},
@@ -91,7 +91,7 @@
                                   {List(2, {"e1", "e2", "e3"})},
                                   {HeartbeatOf("e2", 2), HeartbeatOf("e3", 1)},
                                   {"e3"}},
-                    AgreementCase{"OneAheadNeverPromisedThis",
+                    AgreementCase{"OneAheadNeverConfirmedThis",
                                   {List(2, {"e1", "e2", "e3"})},
                                   {HeartbeatOf("e2", 2), HeartbeatOf("e3", 3)},
                                   {"e3"}},
@@ -99,7 +99,7 @@
                                   {List(1, {"e1", "e2", "e3"}), List(2, {"e1", "e2"})},
                                   {HeartbeatOf("e2", 2)},
                                   {"e3"}},
-                    AgreementCase{"RemovedBeforeThisLife",
+                    AgreementCase{"RemovedBeforeTheStart",
                                   {WithFormer(List(2, {"e1", "e2"}), {"e3"})},
                                   {HeartbeatOf("e2", 2)},
                                   {"e3"}},
@@ -117,11 +117,11 @@
                                    WithGone(List(2, {"e1", "e2"}), {"e3"})},
                                   {HeartbeatOf("e2", 2)},
                                   {}},
-                    AgreementCase{"VouchedFor",
+                    AgreementCase{"ReportedAppliedByAll",
                                   {List(2, {"e1", "e2", "e3"})},
                                   {ReportingAppliedByAll(HeartbeatOf("e2", 2), 2)},
                                   {}},
-                    AgreementCase{"VouchedForAnOlderOne",
+                    AgreementCase{"ReportedOlderAppliedByAll",
                                   {List(2, {"e1", "e2", "e3"})},
                                   {ReportingAppliedByAll(HeartbeatOf("e2", 2), 1)},
                                   {"e3"}}),
@@ -177,7 +177,7 @@
                         HeartbeatOf("e2", 1, 1, 2),
                         2,
                         HeartbeatOutcome::kNewIncarnation},
-        IncarnationCase{"LateWordOfTheOldLife",
+        IncarnationCase{"LateHeartbeatOfTheOldIncarnation",
                         {HeartbeatOf("e2", 1, 1, 2)},
                         HeartbeatOf("e2", 1, 9, 1),
                         2,
@@ -187,7 +187,7 @@
                         HeartbeatOf("e2", 1, 1, 1),
                         4,
                         HeartbeatOutcome::kNewIncarnation},
-        IncarnationCase{"Stranger", {}, HeartbeatOf("e9", 1), 1, HeartbeatOutcome::kIgnored},
+        IncarnationCase{"UnknownSender", {}, HeartbeatOf("e9", 1), 1, HeartbeatOutcome::kIgnored},
         IncarnationCase{
             "NewlyListedElsewhere", {}, HeartbeatOf("e9", 2), 1, HeartbeatOutcome::kNewPeer},
         IncarnationCase{"Itself", {}, HeartbeatOf("e1", 1), 1, HeartbeatOutcome::kIgnored}),
@@ -201,7 +201,7 @@
 
 class ReachabilityTest : public testing::TestWithParam<ReachabilityCase> {};
 
-TEST_P(ReachabilityTest, ComesFromTheOwnClock) {
+TEST_P(ReachabilityTest, DependsOnTheOwnClock) {
   Membership membership(Me(), At(0));
   membership.OnConfiguration(List(1, {"e1", "e2"}));
   membership.OnHeartbeat(HeartbeatOf("e2", 1), At(10));
@@ -211,14 +211,14 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Cases, ReachabilityTest,
-    testing::Values(ReachabilityCase{"JustHeard", 0, Reachability::kReachable},
+    testing::Values(ReachabilityCase{"JustReceived", 0, Reachability::kReachable},
                     ReachabilityCase{"ThreeLost", 1.9, Reachability::kReachable},
                     ReachabilityCase{"FourLost", 2.0, Reachability::kUnresponsive}),
     [](const auto& info) { return info.param.name; });
 
-// The process is stopped for a while and knows nothing of it but by its clock. On what it knew
-// before it would send work to endpoints that have left meanwhile.
-TEST(MembershipTest, TellsOfItsOwnPause) {
+// The process is paused and detects this only by its clock. By its state from before the pause, it
+// would send work to endpoints that have left in the meantime.
+TEST(MembershipTest, ReportsItsOwnPause) {
   Membership membership(Me(), At(0));
   EXPECT_FALSE(membership.Tick(At(0.5)));
   const std::optional<Pause> pause = membership.Tick(At(60));
@@ -234,7 +234,7 @@
   EXPECT_TRUE(membership.MayOwn());
 }
 
-TEST(MembershipDeathTest, VersionThatGoesBackStopsTheProcess) {
+TEST(MembershipDeathTest, DecreasingVersionStopsTheProcess) {
   Membership membership(Me(), At(0));
   membership.OnConfiguration(List(2, {"e1"}));
   EXPECT_DEATH(membership.OnConfiguration(List(1, {"e1"})), "assertion failed");
