--- a/src/quota/lender_book.h
+++ b/src/quota/lent_loans.h
@@ -11,21 +11,21 @@
 
 namespace chervilspar::quota {
 
-/// The loans that this entry has given, until no task on them can still run.
-class LenderBook {
+/// The loans that this entry has granted, kept until no task on them can still run.
+class LentLoans {
  public:
-  LenderBook(EntryId self, membership::Incarnation incarnation);
+  LentLoans(EntryId self, membership::Incarnation incarnation);
 
-  /// A new loan, counted until `counts_until` unless it is returned earlier.
+  /// Adds a loan, which counts until `counts_until` unless it is returned earlier.
   LoanKey Lend(const EntryId& borrower, const membership::Incarnation& borrower_incarnation,
                const TeamId& team, std::uint32_t units, TimePoint counts_until);
-  /// Takes a return into account, if it comes from the life that the loan was given to.
-  ///
-  /// What goes wrong otherwise: the borrower is replaced, its successor knows nothing of the loan
-  /// and says that it holds nothing, while tasks of the predecessor run on.
+  /// Applies a return if it comes from the incarnation to which the loan was granted. A restarted
+  /// borrower doesn't know the loan and reports that it holds nothing, while tasks of its
+  /// predecessor may still run on the units.
   void OnReturn(const LoanReturn& returned, const EntryId& from,
                 const membership::Incarnation& from_incarnation);
-  void ForgetEnded(TimePoint now);
+  /// Removes the loans that no longer count.
+  void RemoveExpired(TimePoint now);
 
   std::uint32_t Lent(const TeamId& team) const;
   /// Teams with units lent.
@@ -41,7 +41,7 @@
     TimePoint counts_until;
   };
 
-  void Uncount(const TeamId& team, std::uint32_t units);
+  void SubtractLent(const TeamId& team, std::uint32_t units);
 
   EntryId self;
   membership::Incarnation incarnation;
