--- a/bench/wave_meter.cc
+++ b/bench/wave_meter.cc
@@ -88,7 +88,7 @@
   for (const auto& [id, length] : by_pool) {
     const inventory::Pool& pool = inventory.pools.at(id);
     const bool is_spare = pool.kind == inventory::PoolKind::kSpare;
-    const std::uint32_t room = is_spare ? 0 : maintenance::kFailureRoom;
+    const std::uint32_t room = is_spare ? 0 : maintenance::kFailureReserve;
     const std::uint32_t width = sizes.at(id) - pool.min_available - room;
     bound = std::max(bound, length / static_cast<Duration::rep>(width));
   }
--- a/bench/wave_strategy.cc
+++ b/bench/wave_strategy.cc
@@ -16,7 +16,7 @@
                                                const maintenance::Observations& observations,
                                                WallTime now) {
   maintenance::Plan plan;
-  plan.is_own_turn = *observations.live_entries.begin() == self;
+  plan.appends_claims = *observations.live_entries.begin() == self;
   auto held = static_cast<std::uint32_t>(state.steps.size());
   for (const auto& [id, vm] : state.inventory.vms) {
     const config_log::VmStatus& status = state.vm_status.at(id);
--- a/bench/wave_world.cc
+++ b/bench/wave_world.cc
@@ -228,7 +228,7 @@
   for (auto& [id, executor] : entry.executors) {
     const auto found = this->State().steps.find(id);
     const bool is_there = found != this->State().steps.end();
-    maintenance::StepSeen seen;
+    maintenance::FoldedStep seen;
     seen.step = is_there ? std::optional(found->second) : std::nullopt;
     this->Drive(entry, executor, seen);
     this->Drive(entry, executor, maintenance::Tick());
@@ -244,7 +244,7 @@
   for (const maintenance::StepWithdrawal& withdrawal : plan.withdrawals) {
     const auto found = entry.executors.find(withdrawal.step);
     if (found != entry.executors.end()) {
-      this->Drive(entry, found->second, maintenance::WithdrawAsked());
+      this->Drive(entry, found->second, maintenance::WithdrawalRequested());
     }
   }
   for (const maintenance::StepTakeOver& take_over : plan.take_overs) {
@@ -257,7 +257,7 @@
     entry.gone[taken.id] = take_over.gone_executor;
     entry.executors.try_emplace(taken.id, StepExecutor::TakeOver(taken, rules, this->now));
   }
-  if (!plan.is_own_turn) {
+  if (!plan.appends_claims) {
     return;
   }
   for (const VmId& vm : plan.undrains) {
@@ -307,7 +307,7 @@
     using maintenance::PlatformVmState;
     const auto up = truth.is_alive ? PlatformVmState::kLive : PlatformVmState::kFailed;
     const auto state = truth.boots_at ? PlatformVmState::kRebooting : up;
-    this->Drive(entry, executor, maintenance::VmDescribed{state, truth.boot, truth.last_step});
+    this->Drive(entry, executor, maintenance::DescribeAnswer{state, truth.boot, truth.last_step});
   }
 }
 
@@ -330,7 +330,7 @@
   }
   const auto found = this->State().steps.find(step);
   const bool is_there = found != this->State().steps.end();
-  maintenance::StepSeen seen;
+  maintenance::FoldedStep seen;
   seen.step = is_there ? std::optional(found->second) : std::nullopt;
   this->Drive(entry, executor, seen);
   const auto verdict = outcome.verdict == FoldVerdict::kAccepted
--- a/include/chervilspar/maintenance/plan.h
+++ b/include/chervilspar/maintenance/plan.h
@@ -77,7 +77,7 @@
   /// Whether this entry appends the claims; the others only show the plan.
   /// All entries may plan; one that appends keeps the log free of duplicates that the fold would
   /// reject.
-  bool is_own_turn = false;
+  bool appends_claims = false;
   /// Steps to claim now, most important first.
   std::vector<config_log::Step> claims;
   std::vector<StepWithdrawal> withdrawals;
--- a/include/chervilspar/maintenance/planner.h
+++ b/include/chervilspar/maintenance/planner.h
@@ -9,7 +9,7 @@
 /// VMs of room that a wave leaves above each pool's availability budget. Grounds: no one can stop a
 /// VM from failing while others are drained; with one to spare, a single failure breaks no budget.
 /// This is the buffer cost that the users measure.
-inline constexpr std::uint32_t kFailureRoom = 1;
+inline constexpr std::uint32_t kFailureReserve = 1;
 
 /// Further room for steps in a second zone of the same pool. Grounds: a zone cut takes the VMs of
 /// one zone away; drains in the other zone then add to it. A pool that would make the whole wave
--- a/include/chervilspar/maintenance/step_executor.h
+++ b/include/chervilspar/maintenance/step_executor.h
@@ -50,10 +50,10 @@
 /// The step as the folded state has it now; none once it has ended. Feed it after each batch of
 /// folded records, before the `RecordReadBack` of that batch: it also covers records that were
 /// skipped by taking a snapshot.
-struct StepSeen {
+struct FoldedStep {
   std::optional<config_log::Step> step;
 
-  friend bool operator==(const StepSeen&, const StepSeen&) = default;
+  friend bool operator==(const FoldedStep&, const FoldedStep&) = default;
 };
 
 /// The endpoint answered a drain with the number of tasks that still run.
@@ -83,17 +83,17 @@
 enum class PlatformVmState { kLive, kLeaving, kRebooting, kFailed };
 
 /// The platform's own word on the VM.
-struct VmDescribed {
+struct DescribeAnswer {
   PlatformVmState state = PlatformVmState::kLive;
   std::uint64_t boot = 0;
   StepId last_step;
 
-  friend bool operator==(const VmDescribed&, const VmDescribed&) = default;
+  friend bool operator==(const DescribeAnswer&, const DescribeAnswer&) = default;
 };
 
 /// The planner, or an operator, wants the step undone.
-struct WithdrawAsked {
-  friend bool operator==(const WithdrawAsked&, const WithdrawAsked&) = default;
+struct WithdrawalRequested {
+  friend bool operator==(const WithdrawalRequested&, const WithdrawalRequested&) = default;
 };
 
 /// Time passes; repeats what was not answered. Once a second is enough.
@@ -101,8 +101,9 @@
   friend bool operator==(const Tick&, const Tick&) = default;
 };
 
-using StepInput = std::variant<RecordReadBack, StepSeen, DrainAnswer, UndrainAnswer,
-                               FinalCheckAnswer, RebootAnswer, VmDescribed, WithdrawAsked, Tick>;
+using StepInput =
+    std::variant<RecordReadBack, FoldedStep, DrainAnswer, UndrainAnswer, FinalCheckAnswer,
+                 RebootAnswer, DescribeAnswer, WithdrawalRequested, Tick>;
 
 // Actions. Each may be repeated and must do no harm then. The step is in `StepExecutor::Current`.
 
@@ -199,13 +200,13 @@
                TimePoint now);
 
   Outputs On(const RecordReadBack& input, TimePoint now);
-  Outputs On(const StepSeen& input, TimePoint now);
+  Outputs On(const FoldedStep& input, TimePoint now);
   Outputs On(const DrainAnswer& input, TimePoint now);
   Outputs On(const UndrainAnswer& input, TimePoint now);
   Outputs On(const FinalCheckAnswer& input, TimePoint now);
   Outputs On(const RebootAnswer& input, TimePoint now);
-  Outputs On(const VmDescribed& input, TimePoint now);
-  Outputs On(const WithdrawAsked& input, TimePoint now);
+  Outputs On(const DescribeAnswer& input, TimePoint now);
+  Outputs On(const WithdrawalRequested& input, TimePoint now);
   Outputs On(const Tick& input, TimePoint now);
 
   Outputs OnAccepted(StepRecord record, TimePoint now);
--- a/src/entry/step_runner.cc
+++ b/src/entry/step_runner.cc
@@ -73,7 +73,7 @@
   const inventory::MaintenanceRules& rules = state.inventory.maintenance;
   const TimePoint now = this->context.Now();
   for (const config_log::Step& step : plan.claims) {
-    if (plan.is_own_turn && !this->jobs.contains(step.id)) {
+    if (plan.appends_claims && !this->jobs.contains(step.id)) {
       this->jobs.emplace(step.id, Job{maintenance::StepExecutor::Claim(step, rules, now),
                                       AddressOf(state, step.vm), EntryId{}, std::string()});
     }
@@ -94,7 +94,7 @@
     const auto job = this->jobs.find(withdrawal.step);
     if (job != this->jobs.end()) {
       job->second.withdraw_cause = maintenance::Explain(withdrawal.cause);
-      this->Feed(withdrawal.step, maintenance::WithdrawAsked{});
+      this->Feed(withdrawal.step, maintenance::WithdrawalRequested{});
     }
   }
   this->ResumeOwn(state);
@@ -123,7 +123,7 @@
   for (const StepId& id : ids) {
     const auto step = state->steps.find(id);
     const bool is_folded = step != state->steps.end();
-    this->Feed(id, maintenance::StepSeen{is_folded ? std::optional(step->second) : std::nullopt});
+    this->Feed(id, maintenance::FoldedStep{is_folded ? std::optional(step->second) : std::nullopt});
   }
   for (const ReadBack& record : records) {
     this->Feed(record.step, record.record);
@@ -289,9 +289,9 @@
   const VmId vm = this->jobs.at(step).executor.Current().vm;
   const auto described = this->vm_list.Describe(vm, this->context.settings.log_timeout);
   if (described) {
-    this->Feed(step, maintenance::VmDescribed{ToPlatformState(described->state),
-                                              static_cast<std::uint64_t>(described->boot),
-                                              described->last_step});
+    this->Feed(step, maintenance::DescribeAnswer{ToPlatformState(described->state),
+                                                 static_cast<std::uint64_t>(described->boot),
+                                                 described->last_step});
   }
 }
 
--- a/src/maintenance/fleet_view.cc
+++ b/src/maintenance/fleet_view.cc
@@ -44,7 +44,7 @@
 }
 
 std::uint32_t FleetView::FailureRoom(const inventory::Pool& pool) {
-  return pool.kind == inventory::PoolKind::kSpare ? 0 : kFailureRoom;
+  return pool.kind == inventory::PoolKind::kSpare ? 0 : kFailureReserve;
 }
 
 std::int64_t FleetView::RoomNow(const PoolView& pool) {
--- a/src/maintenance/planner.cc
+++ b/src/maintenance/planner.cc
@@ -107,7 +107,7 @@
   plan.wave = JudgeWave(plan, review, state.steps.size());
   plan.remaining_steps = shape.Remaining();
   plan.forecast = MakeForecast(view, shape, observations.step_times, stretch);
-  plan.is_own_turn =
+  plan.appends_claims =
       !observations.live_entries.empty() && *observations.live_entries.begin() == this->self;
   return plan;
 }
--- a/src/maintenance/step_executor.cc
+++ b/src/maintenance/step_executor.cc
@@ -94,7 +94,7 @@
     case StepRecord::kClaim:
       return this->stage == ExecutorStage::kClaiming ? this->EnterPhase(now) : Outputs();
     case StepRecord::kTakeOver:
-      // The phase may have gone on since the plan was made, so only `StepSeen` begins the work.
+      // The phase may have gone on since the plan was made, so only `FoldedStep` begins the work.
       return {};
     case StepRecord::kActing:
       if (this->stage != ExecutorStage::kEnteringAct) {
@@ -116,12 +116,12 @@
     return {};
   }
   // The fold refuses "acting" of a step that is still ours when the budget has gone meanwhile. Had
-  // the step gone to another executor, `StepSeen` of the same batch would have ended this one.
+  // the step gone to another executor, `FoldedStep` of the same batch would have ended this one.
   return this->Enter(
       record == StepRecord::kActing ? ExecutorStage::kUndoing : ExecutorStage::kFinished, now);
 }
 
-StepExecutor::Outputs StepExecutor::On(const StepSeen& input, TimePoint now) {
+StepExecutor::Outputs StepExecutor::On(const FoldedStep& input, TimePoint now) {
   const bool own = input.step && input.step->executor == this->step.executor;
   if (this->stage == ExecutorStage::kClaiming && !input.step) {
     return {};
@@ -189,7 +189,7 @@
   return this->Enter(ExecutorStage::kAwaitingBoot, now);
 }
 
-StepExecutor::Outputs StepExecutor::On(const VmDescribed& input, TimePoint now) {
+StepExecutor::Outputs StepExecutor::On(const DescribeAnswer& input, TimePoint now) {
   // `last_step` and not the boot counter tells whether this step's reboot took place: the VM may
   // have been rebooted by a failure as well, and then still has to be.
   const bool rebooted = input.last_step == this->step.id;
@@ -217,7 +217,7 @@
   }
 }
 
-StepExecutor::Outputs StepExecutor::On(const WithdrawAsked& /*input*/, TimePoint now) {
+StepExecutor::Outputs StepExecutor::On(const WithdrawalRequested& /*input*/, TimePoint now) {
   // Once "acting" is on its way to the log it may take effect, and only the act itself ends it.
   if (this->stage == ExecutorStage::kDraining || this->stage == ExecutorStage::kChecking) {
     return this->Enter(ExecutorStage::kUndoing, now);
--- a/tests/maintenance/planner_test.cc
+++ b/tests/maintenance/planner_test.cc
@@ -362,8 +362,8 @@
 
 TEST(PlannerTest, OnlyOneEntryAppends) {
   FleetFixture fleet;
-  EXPECT_TRUE(Planner(kEntryA).MakePlan(fleet.state, fleet.observations, kNow).is_own_turn);
-  EXPECT_FALSE(Planner(kEntryB).MakePlan(fleet.state, fleet.observations, kNow).is_own_turn);
+  EXPECT_TRUE(Planner(kEntryA).MakePlan(fleet.state, fleet.observations, kNow).appends_claims);
+  EXPECT_FALSE(Planner(kEntryB).MakePlan(fleet.state, fleet.observations, kNow).appends_claims);
 }
 
 TEST(PlannerTest, EachWaitExplainsItself) {
--- a/tests/maintenance/step_executor_test.cc
+++ b/tests/maintenance/step_executor_test.cc
@@ -45,9 +45,9 @@
   return RecordReadBack{record, RecordVerdict::kRejected};
 }
 
-VmDescribed Described(std::uint64_t boot, const StepId& last_step,
-                      PlatformVmState state = PlatformVmState::kLive) {
-  return VmDescribed{state, boot, last_step};
+DescribeAnswer Described(std::uint64_t boot, const StepId& last_step,
+                         PlatformVmState state = PlatformVmState::kLive) {
+  return DescribeAnswer{state, boot, last_step};
 }
 
 /// An input at a second of the run and the stage that must follow.
@@ -148,13 +148,13 @@
                     StageCase{"UnreadClaimStays",
                               Start::kClaim,
                               MakeStep(StepAction::kReboot),
-                              {{1, StepSeen{}, kClaiming}, {60, Tick{}, kClaiming}}},
+                              {{1, FoldedStep{}, kClaiming}, {60, Tick{}, kClaiming}}},
                     StageCase{"UnreadClaimIsGivenUp", Start::kClaim, MakeStep(StepAction::kReboot),
                               Then(Ticks(0, 60, kClaiming), {{61, Tick{}, kFinished}})},
                     StageCase{"ClaimSeenInSnapshot",
                               Start::kClaim,
                               MakeStep(StepAction::kReboot),
-                              {{1, StepSeen{HeldBy(kSelf, StepPhase::kDraining)}, kDraining}}}),
+                              {{1, FoldedStep{HeldBy(kSelf, StepPhase::kDraining)}, kDraining}}}),
     [](const auto& info) { return info.param.name; });
 
 // A task runs longer than the rules let a drain wait. The drain is given up, so that its caller
@@ -172,7 +172,7 @@
                     StageCase{"EndpointGoneWhileUndoing", Start::kClaim,
                               MakeStep(StepAction::kReboot),
                               Then(Then({{0, Accepted(StepRecord::kClaim), kDraining},
-                                         {5, WithdrawAsked{}, kUndoing}},
+                                         {5, WithdrawalRequested{}, kUndoing}},
                                         Ticks(6, 125, kUndoing)),
                                    {{126, Tick{}, kRecordingWithdrawn}})},
                     StageCase{"FinalCheckWaitsForFreshViews",
@@ -194,7 +194,7 @@
                               {{0, Accepted(StepRecord::kClaim), kDraining},
                                {5, DrainAnswer{0}, kChecking},
                                {6, FinalCheckAnswer{ActVerdict::kAct}, kEnteringAct},
-                               {7, StepSeen{HeldBy(kSelf, StepPhase::kDraining)}, kEnteringAct},
+                               {7, FoldedStep{HeldBy(kSelf, StepPhase::kDraining)}, kEnteringAct},
                                {7, Rejected(StepRecord::kActing), kUndoing}}},
                     StageCase{"TooLateToWithdraw",
                               Start::kClaim,
@@ -202,7 +202,7 @@
                               {{0, Accepted(StepRecord::kClaim), kDraining},
                                {5, DrainAnswer{0}, kChecking},
                                {6, FinalCheckAnswer{ActVerdict::kAct}, kEnteringAct},
-                               {7, WithdrawAsked{}, kEnteringAct}}}),
+                               {7, WithdrawalRequested{}, kEnteringAct}}}),
     [](const auto& info) { return info.param.name; });
 
 // The executor dies at some point of a step and another entry takes it over, or comes back without
@@ -213,18 +213,18 @@
                               Start::kTakeOver,
                               MakeStep(StepAction::kReboot),
                               {{0, Tick{}, kTakingOver},
-                               {0, StepSeen{HeldBy(kOther, StepPhase::kDraining)}, kTakingOver},
-                               {1, StepSeen{HeldBy(kSelf, StepPhase::kDraining)}, kDraining}}},
+                               {0, FoldedStep{HeldBy(kOther, StepPhase::kDraining)}, kTakingOver},
+                               {1, FoldedStep{HeldBy(kSelf, StepPhase::kDraining)}, kDraining}}},
                     StageCase{"OneEntryWasFaster",
                               Start::kTakeOver,
                               MakeStep(StepAction::kReboot),
-                              {{0, StepSeen{HeldBy(kOther, StepPhase::kDraining)}, kTakingOver},
+                              {{0, FoldedStep{HeldBy(kOther, StepPhase::kDraining)}, kTakingOver},
                                {1, Rejected(StepRecord::kTakeOver), kFinished}}},
                     StageCase{"ActBeganAfterThePlan",
                               Start::kTakeOver,
                               MakeStep(StepAction::kReboot),
                               {{0, Accepted(StepRecord::kTakeOver), kTakingOver},
-                               {1, StepSeen{HeldBy(kSelf, StepPhase::kActing)}, kInspecting}}},
+                               {1, FoldedStep{HeldBy(kSelf, StepPhase::kActing)}, kInspecting}}},
                     StageCase{"BeforeTheReboot",
                               Start::kResume,
                               MakeStep(StepAction::kReboot, StepPhase::kActing),
@@ -255,10 +255,10 @@
         StageCase{"StepEnded",
                   Start::kClaim,
                   MakeStep(StepAction::kReboot),
-                  {{0, Accepted(StepRecord::kClaim), kDraining}, {600, StepSeen{}, kFinished}}},
+                  {{0, Accepted(StepRecord::kClaim), kDraining}, {600, FoldedStep{}, kFinished}}},
         StageCase{
             "StepTakenOver", Start::kClaim, MakeStep(StepAction::kReboot),
-            Then(kUpToActing, {{600, StepSeen{HeldBy(kOther, StepPhase::kActing)}, kFinished}})},
+            Then(kUpToActing, {{600, FoldedStep{HeldBy(kOther, StepPhase::kActing)}, kFinished}})},
         StageCase{"SecondCopyOfARecordIsRejected", Start::kClaim, MakeStep(StepAction::kReboot),
                   Then(kUpToActing, {{11, Rejected(StepRecord::kActing), kConfirmingDrain},
                                      {11, Rejected(StepRecord::kClaim), kConfirmingDrain}})},
--- a/tests/maintenance/wave_test.cc
+++ b/tests/maintenance/wave_test.cc
@@ -321,7 +321,7 @@
   }
   for (const auto& [pool, count] : claims) {
     const auto& rules = fleet.state.inventory.pools.at(pool);
-    const std::uint32_t room = rules.kind == inventory::PoolKind::kSpare ? 0 : kFailureRoom;
+    const std::uint32_t room = rules.kind == inventory::PoolKind::kSpare ? 0 : kFailureReserve;
     RC_ASSERT(SeenAvailable(fleet, pool) - count >= rules.min_available + room);
   }
 }
--- a/tests/prove/entry_maintenance.cc
+++ b/tests/prove/entry_maintenance.cc
@@ -159,7 +159,7 @@
   const inventory::MaintenanceRules& rules = state->inventory.maintenance;
   const maintenance::Plan plan = this->planner.MakePlan(*state, this->Observe(), this->Wall());
   for (const config_log::Step& step : plan.claims) {
-    if (plan.is_own_turn && !this->jobs.contains(step.id)) {
+    if (plan.appends_claims && !this->jobs.contains(step.id)) {
       this->jobs.emplace(
           step.id, Job{maintenance::StepExecutor::Claim(step, rules, this->Now()), EntryId{}});
     }
@@ -181,7 +181,7 @@
     }
   }
   for (const maintenance::StepWithdrawal& withdrawal : plan.withdrawals) {
-    this->FeedStep(withdrawal.step, maintenance::WithdrawAsked{});
+    this->FeedStep(withdrawal.step, maintenance::WithdrawalRequested{});
   }
   for (const VmId& vm : plan.undrains) {
     this->UndrainVm(std::nullopt, vm);
@@ -197,8 +197,8 @@
   for (const StepId& id : ids) {
     const auto folded = state->steps.find(id);
     const bool is_folded = folded != state->steps.end();
-    this->FeedStep(id,
-                   maintenance::StepSeen{is_folded ? std::optional(folded->second) : std::nullopt});
+    this->FeedStep(
+        id, maintenance::FoldedStep{is_folded ? std::optional(folded->second) : std::nullopt});
     this->FeedStep(id, maintenance::Tick{});
   }
   std::erase_if(this->jobs, [](const auto& job) { return job.second.executor.IsFinished(); });
@@ -269,8 +269,8 @@
           const StatePtr state = this->Current();
           const auto folded = state->steps.find(id);
           const bool is_folded = folded != state->steps.end();
-          this->FeedStep(
-              id, maintenance::StepSeen{is_folded ? std::optional(folded->second) : std::nullopt});
+          this->FeedStep(id, maintenance::FoldedStep{is_folded ? std::optional(folded->second)
+                                                               : std::nullopt});
           const auto verdict = is_accepted ? maintenance::RecordVerdict::kAccepted
                                            : maintenance::RecordVerdict::kRejected;
           this->FeedStep(id, maintenance::RecordReadBack{kind, verdict});
@@ -317,7 +317,7 @@
     const auto state = endpoint.IsDead()        ? maintenance::PlatformVmState::kFailed
                        : endpoint.IsRebooting() ? maintenance::PlatformVmState::kRebooting
                                                 : maintenance::PlatformVmState::kLive;
-    const maintenance::VmDescribed described{state, endpoint.Boot(), endpoint.LastStep()};
+    const maintenance::DescribeAnswer described{state, endpoint.Boot(), endpoint.LastStep()};
     life->world.Net().SendOnce(kPlatform, life->zone, [life, step, described] {
       life->Run([=] { life->FeedStep(step, described); });
     });
