--- a/include/chervilspar/maintenance/plan.h
+++ b/include/chervilspar/maintenance/plan.h
@@ -12,29 +12,31 @@
 
 /// Why a VM that is due for a step has to wait, or why a step is withdrawn.
 enum class WaitReason {
-  /// Neither a move nor routine maintenance asks for a step now.
+  /// Neither a move nor routine maintenance requires a step now.
   kNotDue,
-  /// A step already holds the VM.
+  /// A step for the VM is already in progress.
   kStepRunning,
-  /// The VM is failed or not seen live in a fresh view.
+  /// The VM is failed or not listed as live in a recent observation.
   kVmUnavailable,
-  /// The pool has no room: one VM less, and one failure, would break its availability budget.
+  /// The pool has no free capacity: one VM less, and one failure, would break its availability
+  /// budget.
   kPoolBudget,
-  /// The rack holds as many steps as the rules allow.
+  /// The rack has as many steps in progress as the rules allow.
   kRackLimit,
-  /// The wave works in another zone of this pool, and the pool has no room for two zones.
+  /// The wave has steps in another zone of this pool, and the pool's free capacity doesn't allow
+  /// steps in two zones.
   kOtherZone,
-  /// Another VM comes first; the wave is as wide as its weights make it.
+  /// Other VMs come first, and the wave has reached the width that follows from its weights.
   kWaveWidth,
-  /// Failures during the wave; no further step begins.
+  /// Failures during the wave have stopped it; no further step begins.
   kWaveStopped,
-  /// The VM list view is too old to plan on.
+  /// The last VM list is too old to plan with.
   kStaleView,
   /// The target pool of the move does not exist.
   kNoTarget,
 };
 
-/// One VM and the reason it waits for.
+/// A VM and the reason why it waits.
 struct VmWait {
   VmId vm;
   WaitReason reason = WaitReason::kNotDue;
@@ -46,10 +48,10 @@
 
 /// The stable name of a reason, for logs and the operators' JSON.
 const char* ToString(WaitReason reason);
-/// The reason as one sentence for an operator.
+/// A sentence for operators that explains why the VM waits.
 std::string Explain(const VmWait& wait);
 
-/// A step still draining that is to be undone.
+/// A draining step to undo.
 struct StepWithdrawal {
   StepId step;
   VmWait cause;
@@ -57,7 +59,7 @@
   friend bool operator==(const StepWithdrawal&, const StepWithdrawal&) = default;
 };
 
-/// A step whose executor is gone and which `new_executor` is to finish.
+/// A step whose executor is unreachable and that `new_executor` takes over.
 struct StepTakeOver {
   StepId step;
   EntryId gone_executor;
@@ -66,27 +68,26 @@
   friend bool operator==(const StepTakeOver&, const StepTakeOver&) = default;
 };
 
-/// How the wave stands.
+/// The state of the maintenance wave.
 enum class WaveState { kIdle, kRunning, kStopped };
 const char* ToString(WaveState state);
 
-/// What to do next, computed from one state and one set of observations. Advice until the fold has
-/// admitted it.
+/// What to do next, computed from one state and one set of observations. A plan is only a proposal
+/// until the fold accepts its records.
 struct Plan {
   WaveState wave = WaveState::kIdle;
-  /// Whether this entry appends the claims; the others only show the plan.
-  /// All entries may plan; one that appends keeps the log free of duplicates that the fold would
-  /// reject.
+  /// Whether this entry appends the claims. All entries make plans, but only one appends them, so
+  /// that the log isn't filled with duplicates that the fold rejects.
   bool appends_claims = false;
-  /// Steps to claim now, most important first.
+  /// Steps to claim now, in order of priority.
   std::vector<config_log::Step> claims;
   std::vector<StepWithdrawal> withdrawals;
   std::vector<StepTakeOver> take_overs;
-  /// Endpoints that refuse tasks although no step holds their VM.
+  /// VMs whose endpoints refuse tasks although no step holds the VM.
   std::vector<VmId> undrains;
-  /// One for each VM with a due step that is not claimed, ordered by VM.
+  /// One entry for each VM with a due step that is not claimed, ordered by VM.
   std::vector<VmWait> waits;
-  /// Steps, moves and routine maintenance alike, still to be done.
+  /// Steps still to finish, for moves and routine maintenance.
   std::uint32_t remaining_steps = 0;
   DateForecast forecast;
 
--- a/include/chervilspar/maintenance/planner.h
+++ b/include/chervilspar/maintenance/planner.h
@@ -6,43 +6,46 @@
 
 namespace chervilspar::maintenance {
 
-/// VMs of room that a wave leaves above each pool's availability budget. Grounds: no one can stop a
-/// VM from failing while others are drained; with one to spare, a single failure breaks no budget.
-/// This is the buffer cost that the users measure.
+/// VMs that a wave keeps available above each pool's availability budget. A VM may fail while
+/// others are drained; with one VM in reserve, a single failure breaks no budget. Users see this
+/// reserve as the buffer cost.
 inline constexpr std::uint32_t kFailureReserve = 1;
 
-/// Further room for steps in a second zone of the same pool. Grounds: a zone cut takes the VMs of
-/// one zone away; drains in the other zone then add to it. A pool that would make the whole wave
-/// late may do without it, since its budget and the room for one failure hold all the same.
-inline constexpr std::uint32_t kSecondZoneRoom = 1;
+/// Additional VMs that must be available before steps begin in a second zone of the same pool. When
+/// a zone is cut off, drains in another zone add to the loss. A pool that would delay the whole
+/// wave may do without this reserve, since it still keeps its budget and the reserve for one
+/// failure.
+inline constexpr std::uint32_t kSecondZoneReserve = 1;
 
-/// Settings of a planner that are no rules of the operators.
+/// Settings of a planner that aren't part of the operators' rules.
 struct PlannerOptions {
-  /// The most that a wave may be stretched beyond its lower bound to save buffer. Grounds: a wave
-  /// is to end within 1.2 times the lower bound; the rest is left for rounding and for tails.
+  /// Maximum ratio of a wave's planned duration to its lower bound; a longer wave needs a smaller
+  /// buffer. A wave must end within 1.2 times the lower bound, and the difference covers rounding
+  /// and steps that end late.
   double max_stretch = 1.1;
 
   friend bool operator==(const PlannerOptions&, const PlannerOptions&) = default;
 };
 
-/// Plans maintenance waves and moves. A pure function of its arguments: every entry that sees the
-/// same gets the same plan, and an entry that sees less only plans less.
+/// Plans maintenance waves and moves. A plan is a pure function of the arguments: entries with the
+/// same observations make the same plan, and an entry with fewer observations plans fewer steps.
 ///
-/// The plan keeps a weighted sum of four costs small. Buffer cost is the largest number of VMs held
-/// at once. Roll-out time is the time until the last due step. Moves are changes of pool beyond
-/// those that the operators ask for. Distance from share grows with the square of the capacity that
-/// a pool is short of, since teams crowd each other in the pool that is shortest.
+/// The plan aims to minimize a weighted sum of four costs. Buffer cost is the maximum number of VMs
+/// held at once. Roll-out time is the time until the last due step ends. Moves are changes of pool
+/// beyond those that the operators request. Distance from share grows with the square of the
+/// capacity that a pool lacks, since teams compete most in the pool with the largest shortage.
 ///
-/// What can go wrong: the wave is planned on a lagging VM list while a rack fails, and drains the
-/// VMs that would have carried the pool. One would notice a pool below its budget for minutes. So a
-/// VM without a fresh live view counts as unavailable, a wave leaves room for one failure, and
-/// steps that have not acted are withdrawn as soon as the room is gone.
+/// When a rack fails while the VM list lags, a wave could drain the VMs that the pool still depends
+/// on and leave it below its budget for minutes. To prevent this, a VM without a recent observation
+/// as live counts as unavailable, a wave keeps a reserve for one failure, and steps that have not
+/// yet acted are withdrawn as soon as the reserve is used up.
 class Planner {
  public:
-  /// `self` is the entry that plans; it becomes the executor of the claims.
+  /// `self` is the entry that makes the plan; it becomes the executor of the claimed steps.
   explicit Planner(EntryId self, PlannerOptions options = {});
 
-  /// The next steps at `now`. Time grows near linearly with VMs.
+  /// Returns the next steps at `now`. Its running time grows almost linearly with the number of
+  /// VMs.
   Plan MakePlan(const config_log::FleetState& state, const Observations& observations,
                 WallTime now) const;
 
@@ -51,12 +54,12 @@
   PlannerOptions options;
 };
 
-/// Whether a step may go over to its irreversible act, checked with fresh observations just before.
+/// Whether a step may begin its irreversible act, checked with fresh observations just before.
 enum class ActVerdict { kAct, kWait, kWithdraw };
 
-/// Answers `kAct` only if, with the step's VM gone and by fresh views alone, every touched pool
-/// keeps its budget; `kWait` while views are stale; `kWithdraw` once the budget is known to be
-/// short.
+/// Returns `kAct` only if recent observations show that the step's pool keeps its budget without
+/// the step's VM, `kWait` while the observations are too old, and `kWithdraw` if the pool is known
+/// to be below its budget or the step no longer applies.
 ActVerdict CheckBeforeActing(const config_log::FleetState& state, const Observations& observations,
                              const StepId& step);
 
--- a/include/chervilspar/maintenance/step_executor.h
+++ b/include/chervilspar/maintenance/step_executor.h
@@ -13,13 +13,14 @@
 
 namespace chervilspar::maintenance {
 
-/// The records of a step's life. The driver turns them into records of the log.
+/// The records that a step writes from its claim to its end. The driver of the executor turns them
+/// into records of the log.
 enum class StepRecord {
   /// Claims the VM for the step.
   kClaim,
-  /// Names a new executor for a step whose executor is gone.
+  /// Names a new executor for a step whose executor is unreachable.
   kTakeOver,
-  /// The irreversible act may begin.
+  /// Allows the irreversible act to begin.
   kActing,
   /// The step is done and releases its VM.
   kDone,
@@ -31,7 +32,7 @@
 /// How a step's act ended.
 enum class ActResult {
   kSucceeded,
-  /// The VM did not come back in the time that the rules give a reboot.
+  /// The VM was not live again within the rules' reboot timeout.
   kVmFailed,
 };
 
@@ -47,42 +48,42 @@
   friend bool operator==(const RecordReadBack&, const RecordReadBack&) = default;
 };
 
-/// The step as the folded state has it now; none once it has ended. Feed it after each batch of
-/// folded records, before the `RecordReadBack` of that batch: it also covers records that were
-/// skipped by taking a snapshot.
+/// The step in the current folded state; none once it has ended. The driver passes it after each
+/// batch of folded records, before the `RecordReadBack` inputs of that batch. It also covers
+/// records that were skipped by installing a snapshot.
 struct FoldedStep {
   std::optional<config_log::Step> step;
 
   friend bool operator==(const FoldedStep&, const FoldedStep&) = default;
 };
 
-/// The endpoint answered a drain with the number of tasks that still run.
+/// The endpoint answered a drain request with the number of tasks that still run.
 struct DrainAnswer {
   std::uint32_t running = 0;
 
   friend bool operator==(const DrainAnswer&, const DrainAnswer&) = default;
 };
 
-/// The endpoint takes tasks again.
+/// The endpoint accepts tasks again.
 struct UndrainAnswer {
   friend bool operator==(const UndrainAnswer&, const UndrainAnswer&) = default;
 };
 
-/// The answer of `CheckBeforeActing`.
+/// The result of `CheckBeforeActing`.
 struct FinalCheckAnswer {
   ActVerdict verdict = ActVerdict::kWait;
 
   friend bool operator==(const FinalCheckAnswer&, const FinalCheckAnswer&) = default;
 };
 
-/// The platform took the reboot, now or earlier for the same step id.
+/// The platform accepted the reboot, now or earlier for the same step id.
 struct RebootAnswer {
   friend bool operator==(const RebootAnswer&, const RebootAnswer&) = default;
 };
 
 enum class PlatformVmState { kLive, kLeaving, kRebooting, kFailed };
 
-/// The platform's own word on the VM.
+/// The platform's description of the VM.
 struct DescribeAnswer {
   PlatformVmState state = PlatformVmState::kLive;
   std::uint64_t boot = 0;
@@ -91,12 +92,12 @@
   friend bool operator==(const DescribeAnswer&, const DescribeAnswer&) = default;
 };
 
-/// The planner, or an operator, wants the step undone.
+/// The planner or an operator requests that the step is undone.
 struct WithdrawalRequested {
   friend bool operator==(const WithdrawalRequested&, const WithdrawalRequested&) = default;
 };
 
-/// Time passes; repeats what was not answered. Once a second is enough.
+/// Time has passed. Repeats unanswered requests; once a second is enough.
 struct Tick {
   friend bool operator==(const Tick&, const Tick&) = default;
 };
@@ -105,7 +106,7 @@
     std::variant<RecordReadBack, FoldedStep, DrainAnswer, UndrainAnswer, FinalCheckAnswer,
                  RebootAnswer, DescribeAnswer, WithdrawalRequested, Tick>;
 
-// Actions. Each may be repeated and must do no harm then. The step is in `StepExecutor::Current`.
+// Actions. Each may be repeated and must be idempotent. `StepExecutor::Current` returns the step.
 
 struct AppendRecord {
   StepRecord record = StepRecord::kClaim;
@@ -120,11 +121,11 @@
 struct UndrainEndpoint {
   friend bool operator==(const UndrainEndpoint&, const UndrainEndpoint&) = default;
 };
-/// Take fresh observations, call `CheckBeforeActing`, and feed the answer.
+/// Requests a call of `CheckBeforeActing` with fresh observations, and its result as an input.
 struct RequestFinalCheck {
   friend bool operator==(const RequestFinalCheck&, const RequestFinalCheck&) = default;
 };
-/// Reboot by the platform, with the step's id.
+/// Requests a reboot from the platform, with the step's id.
 struct RebootVm {
   friend bool operator==(const RebootVm&, const RebootVm&) = default;
 };
@@ -135,16 +136,16 @@
 using StepOutput = std::variant<AppendRecord, DrainEndpoint, UndrainEndpoint, RequestFinalCheck,
                                 RebootVm, DescribeVm>;
 
-/// Where an executor stands with its step.
+/// The stage of a step that an executor is in.
 enum class ExecutorStage {
   kClaiming,
   kTakingOver,
   kDraining,
   kChecking,
   kEnteringAct,
-  /// Asks the platform how far an act has come that another executor began.
+  /// Queries the platform for the progress of an act that another executor began.
   kInspecting,
-  /// Drains once more just before the reboot or hand-over.
+  /// Drains once more just before the reboot, move or retirement.
   kConfirmingDrain,
   kRebooting,
   kAwaitingBoot,
@@ -152,41 +153,44 @@
   kRecordingDone,
   kUndoing,
   kRecordingWithdrawn,
-  /// Nothing is left to do; drop the executor.
+  /// Nothing is left to do, and the executor may be destroyed.
   kFinished,
 };
 const char* ToString(ExecutorStage stage);
 
-enum class DrainContact { kSilent, kAnswered };
+/// Whether the endpoint has answered in the current stage.
+enum class EndpointContact { kNone, kAnswered };
 
-/// Carries out one step. Has no clock, network or thread: inputs with the time in, actions out.
+/// Carries out one step. A state machine without clock, network or threads: it takes inputs with
+/// their time and returns actions.
 ///
-/// What can go wrong, and why this order prevents it:
-/// - The claim's append took effect although its answer was lost: nothing starts until the claim is
-///   read back as accepted, and the same record is appended again (deduplicated by its id). An
-///   entry that is cut off reads nothing back and so does nothing.
-/// - A task is cut by the reboot: the endpoint must answer a drain with zero running tasks twice,
-///   the second time after "acting" was read back; a drain that takes too long is withdrawn.
-/// - The executor dies at any point: another takes over by a record with the old executor as its
-///   precondition and starts again from the step's folded phase; drain and undrain may be repeated,
-///   and the platform reboots once for each step id.
-/// - The executor is paused or cut off for longer than a timeout: silence counts only after it has
-///   asked in vain, and a VM counts as failed only by an answer of the platform.
-/// - The executor was paused while another took over: its records are rejected by the fold, its
-///   reboot is a repetition, and it stops at the first rejection.
+/// The order of the stages covers these failures:
+/// - The claim was appended although the answer was lost. Nothing starts until the claim is read
+///   back as accepted, and the same record is appended again (deduplicated by its id). An entry
+///   that is cut off from the log reads nothing back and so does nothing.
+/// - The reboot would interrupt a task. The endpoint must answer a drain with zero running tasks
+///   twice, the second time after "acting" was read back; a drain that takes too long is withdrawn.
+/// - The executor crashes. Another takes over with a record that has the old executor as its
+///   precondition, and starts again from the step's folded phase. Drain and undrain may be
+///   repeated, and the platform reboots once for each step id.
+/// - The executor is paused or cut off for longer than a timeout. A missing answer counts only
+///   after several unanswered requests, and a VM that still reboots counts as failed only after an
+///   answer of the platform.
+/// - The executor was paused while another took over. The fold rejects its records, its reboot
+///   request is a repetition, and it stops at the first rejection.
 class StepExecutor {
  public:
   /// Starts a new step of a plan by claiming it.
   static StepExecutor Claim(config_log::Step step, const inventory::MaintenanceRules& rules,
                             TimePoint now);
-  /// Takes over a folded step whose executor is gone. `step.executor` is the new executor.
+  /// Takes over a folded step whose executor is unreachable. `step.executor` is the new executor.
   static StepExecutor TakeOver(config_log::Step step, const inventory::MaintenanceRules& rules,
                                TimePoint now);
-  /// Goes on with a folded step that names this entry as its executor, after a restart.
+  /// Resumes a folded step that names this entry as its executor, after a restart.
   static StepExecutor Resume(config_log::Step step, const inventory::MaintenanceRules& rules,
                              TimePoint now);
 
-  /// Feeds one input and returns what to do next, in order.
+  /// Processes one input and returns the next actions, in order.
   std::vector<StepOutput> Handle(const StepInput& input, TimePoint now);
 
   const config_log::Step& Current() const { return this->step; }
@@ -211,16 +215,16 @@
 
   Outputs OnAccepted(StepRecord record, TimePoint now);
   Outputs OnRejected(StepRecord record, TimePoint now);
-  /// Begins the work of the step's folded phase.
+  /// Enters the first stage of the step's folded phase.
   Outputs EnterPhase(TimePoint now);
-  /// Goes on after the endpoint is known to be empty for the second time.
+  /// Enters the stage that follows the second confirmation that the endpoint runs no tasks.
   Outputs EnterIrreversibleAct(TimePoint now);
   Outputs Enter(ExecutorStage next, TimePoint now);
-  /// Leaves a stage that has lasted too long, if it may be left.
+  /// Leaves a stage that has timed out, if the stage allows it.
   Outputs OnStageTimeout(TimePoint now);
   Outputs RecordFailure(TimePoint now);
-  bool IsSilentFor(Duration timeout, TimePoint now) const;
-  /// What the present stage asks for, also when repeated by a tick.
+  bool IsUnansweredFor(Duration timeout, TimePoint now) const;
+  /// The actions of the current stage, which a tick repeats.
   Outputs StageOutputs() const;
 
   config_log::Step step;
@@ -230,14 +234,14 @@
   TimePoint stage_since;
   TimePoint drain_since;
   TimePoint last_outputs;
-  /// How often the present stage has sent its outputs.
+  /// How often the current stage has returned its actions.
   std::uint32_t attempts = 0;
   ActResult result = ActResult::kSucceeded;
-  /// The boot counter before this step's reboot, where it is known.
+  /// The boot counter before this step's reboot, if known.
   std::optional<std::uint64_t> boot_before;
-  /// Whether the endpoint answered since the stage began; a VM that died while the act was being
-  /// recorded never does.
-  DrainContact drain_contact = DrainContact::kSilent;
+  /// Whether the endpoint has answered since the stage began. The endpoint of a VM that failed
+  /// while the act was being recorded never does.
+  EndpointContact endpoint_contact = EndpointContact::kNone;
 };
 
 }  // namespace chervilspar::maintenance
--- a/src/maintenance/date_forecast.cc
+++ b/src/maintenance/date_forecast.cc
@@ -11,16 +11,16 @@
 
 namespace {
 
-/// Rounds beyond the estimate at which a date counts as safe: steps differ in length, and a zone or
-/// rack makes a step wait for the next round.
+/// Factor on the estimated rounds that a move needs for its date to count as met: steps differ in
+/// duration, and zone and rack limits make a step wait for the next round.
 constexpr double kDateMargin = 1.25;
 
-Duration RoundsLong(double rounds, const StepTimes& times) {
-  const double length = static_cast<double>(StepLength(times).count()) * rounds;
+Duration RoundsToDuration(double rounds, const StepTimes& times) {
+  const double length = static_cast<double>(StepDuration(times).count()) * rounds;
   return Duration(static_cast<Duration::rep>(std::llround(length)));
 }
 
-DateVerdict JudgeDate(const WaveShape& shape, WallTime earliest, WallTime date) {
+DateVerdict AssessDate(const WaveShape& shape, WallTime earliest, WallTime date) {
   if (!shape.MovesCanEnd()) {
     return DateVerdict::kNever;
   }
@@ -35,21 +35,21 @@
 DateForecast MakeForecast(const FleetView& view, const WaveShape& shape, const StepTimes& times,
                           double stretch) {
   DateForecast forecast;
-  forecast.lower_bound = RoundsLong(shape.LowerBound(), times);
+  forecast.lower_bound = RoundsToDuration(shape.LowerBound(), times);
   forecast.blocked_pools = shape.BlockedPools();
   if (shape.Remaining() > 0 && shape.BlockedPools().empty()) {
-    forecast.expected_end = view.now + RoundsLong(shape.Rounds() * stretch, times);
+    forecast.expected_end = view.now + RoundsToDuration(shape.Rounds() * stretch, times);
   }
   const auto& move = view.state->inventory.move;
   if (!move) {
     return forecast;
   }
-  const Duration move_time = RoundsLong(std::ceil(shape.MoveRounds() * kDateMargin), times);
+  const Duration move_time = RoundsToDuration(std::ceil(shape.MoveRounds() * kDateMargin), times);
   const WallTime earliest = view.now + move_time;
   if (shape.MovesCanEnd()) {
     forecast.earliest_date = earliest;
   }
-  forecast.verdict = JudgeDate(shape, earliest, move->date);
+  forecast.verdict = AssessDate(shape, earliest, move->date);
   return forecast;
 }
 
--- a/src/maintenance/final_check.cc
+++ b/src/maintenance/final_check.cc
@@ -7,8 +7,8 @@
 using config_log::FleetState;
 using config_log::StepPhase;
 
-/// VMs of a pool that are certain to be available, and those that may be.
-struct PoolEvidence {
+/// The numbers of VMs of a pool that are certainly available and that are possibly available.
+struct AvailabilityBounds {
   std::uint32_t certain = 0;
   std::uint32_t possible = 0;
 };
@@ -18,17 +18,17 @@
   return seen != observations.vms.end() && seen->second.listing != VmListing::kLive;
 }
 
-PoolEvidence CountEvidence(const FleetState& state, const Observations& observations,
-                           const PoolId& pool) {
-  PoolEvidence evidence;
+AvailabilityBounds CountAvailable(const FleetState& state, const Observations& observations,
+                                  const PoolId& pool) {
+  AvailabilityBounds bounds;
   for (const auto& [id, vm] : state.inventory.vms) {
     if (vm.pool != pool || !config_log::IsAvailable(state, id)) {
       continue;
     }
-    evidence.certain += IsSeenLive(observations, id) ? 1 : 0;
-    evidence.possible += IsKnownLost(observations, id) ? 0 : 1;
+    bounds.certain += IsSeenLive(observations, id) ? 1 : 0;
+    bounds.possible += IsKnownLost(observations, id) ? 0 : 1;
   }
-  return evidence;
+  return bounds;
 }
 
 }  // namespace
@@ -46,12 +46,12 @@
   if (pool == state.inventory.pools.end() || IsKnownLost(observations, found->second.vm)) {
     return ActVerdict::kWithdraw;
   }
-  // The step's own VM is held and so is in neither count.
-  const PoolEvidence evidence = CountEvidence(state, observations, pool->first);
-  if (evidence.possible < pool->second.min_available) {
+  // The step holds its own VM, so neither count includes it.
+  const AvailabilityBounds bounds = CountAvailable(state, observations, pool->first);
+  if (bounds.possible < pool->second.min_available) {
     return ActVerdict::kWithdraw;
   }
-  return evidence.certain >= pool->second.min_available ? ActVerdict::kAct : ActVerdict::kWait;
+  return bounds.certain >= pool->second.min_available ? ActVerdict::kAct : ActVerdict::kWait;
 }
 
 }  // namespace chervilspar::maintenance
--- a/src/maintenance/fleet_view.cc
+++ b/src/maintenance/fleet_view.cc
@@ -11,7 +11,7 @@
 using config_log::StepAction;
 using config_log::VmCondition;
 
-/// Gives each distinct name the next free number.
+/// Returns the index of an id, assigning the next free one to a new id.
 template <typename IdType>
 Index Intern(std::unordered_map<IdType, Index>& numbers, const IdType& id) {
   return numbers.try_emplace(id, static_cast<Index>(numbers.size())).first->second;
@@ -27,7 +27,7 @@
   return mode == ViewMode::kDeclared ? kAvailableStatus : kFailedStatus;
 }
 
-/// Whether a fresh observation says that the VM is gone or going.
+/// Whether a recent VM list shows that the VM has left or is leaving.
 bool IsObservedLost(const Observations& observations, const VmObservation& seen) {
   return observations.vm_list_age <= kMaxViewAge && seen.listing != VmListing::kLive;
 }
@@ -43,17 +43,19 @@
   this->SetMoveNeeds();
 }
 
-std::uint32_t FleetView::FailureRoom(const inventory::Pool& pool) {
+std::uint32_t FleetView::FailureReserve(const inventory::Pool& pool) {
   return pool.kind == inventory::PoolKind::kSpare ? 0 : kFailureReserve;
 }
 
-std::int64_t FleetView::RoomNow(const PoolView& pool) {
+std::int64_t FleetView::FreeCapacity(const PoolView& pool) {
   const std::int64_t floor =
-      static_cast<std::int64_t>(pool.pool->min_available) + FailureRoom(*pool.pool);
+      static_cast<std::int64_t>(pool.pool->min_available) + FailureReserve(*pool.pool);
   return static_cast<std::int64_t>(pool.available) - floor;
 }
 
-std::int64_t FleetView::Capacity(const PoolView& pool) { return RoomNow(pool) + pool.returning; }
+std::int64_t FleetView::Capacity(const PoolView& pool) {
+  return FreeCapacity(pool) + pool.returning;
+}
 
 std::optional<Index> FleetView::FindPool(const PoolId& pool) const {
   const auto found = this->pool_index.find(pool);
@@ -84,7 +86,7 @@
     if (!pool) {
       continue;
     }
-    // Both maps are ordered by VM, so one walk over each finds all pairs.
+    // Both maps are ordered by VM, so a single pass over each finds all pairs.
     while (status != status_end && status->first < id) {
       ++status;
     }
@@ -97,25 +99,27 @@
     view.zone = Intern(zones, vm.zone);
     view.last_maintained = view.status->last_maintained;
     view.is_lent = this->IsLent(view);
-    this->Judge(view, observations, mode);
+    this->SetAvailability(view, observations, mode);
     this->held_in_rack.resize(racks.size());
     this->held_in_zone.resize(zones.size());
     this->vm_index.emplace(id, static_cast<Index>(this->vms.size()));
     this->vms.push_back(std::move(view));
-    this->Count(static_cast<Index>(this->vms.size() - 1));
+    this->CountVm(static_cast<Index>(this->vms.size() - 1));
   }
 }
 
-void FleetView::Judge(VmView& view, const Observations& observations, ViewMode mode) const {
+void FleetView::SetAvailability(VmView& view, const Observations& observations,
+                                ViewMode mode) const {
   const config_log::VmStatus& status = *view.status;
   if (status.step) {
     const auto step = this->state->steps.find(*status.step);
     view.step = step == this->state->steps.end() ? nullptr : &step->second;
   }
-  // Before anything is observed, a VM that is merely unseen is taken for available.
+  // Without observations, a VM that was never observed counts as available.
   const bool is_unseen = status.condition == VmCondition::kUnseen;
-  const bool is_excused = is_unseen && mode == ViewMode::kDeclared;
-  view.is_lost = status.retired || (status.condition != VmCondition::kAvailable && !is_excused);
+  const bool is_assumed_available = is_unseen && mode == ViewMode::kDeclared;
+  view.is_lost =
+      status.retired || (status.condition != VmCondition::kAvailable && !is_assumed_available);
   if (mode == ViewMode::kDeclared) {
     view.is_available = !view.is_lost && !view.step;
     return;
@@ -128,7 +132,7 @@
   view.is_available = !view.is_lost && !view.step && IsSeenLive(observations, view.vm->id);
 }
 
-void FleetView::Count(Index index) {
+void FleetView::CountVm(Index index) {
   const VmView& view = this->vms[index];
   PoolView& pool = this->pools[view.pool];
   pool.vms.push_back(index);
@@ -141,9 +145,10 @@
     this->CountHeld(view);
     return;
   }
-  const bool fresh_loss = view.failing_since && this->now - *view.failing_since < kFillInPatience;
-  if (view.is_lost && !view.status->retired && !fresh_loss) {
-    ++pool.lost_for_long;
+  const bool is_recent_loss =
+      view.failing_since && this->now - *view.failing_since < kReplacementDelay;
+  if (view.is_lost && !view.status->retired && !is_recent_loss) {
+    ++pool.replaceable_losses;
   }
 }
 
@@ -183,7 +188,7 @@
   if (every <= Duration::zero()) {
     return;
   }
-  const Duration due_after = every - every / kRoutineLeadParts;
+  const Duration due_after = every - every / kRoutineLeadDivisor;
   for (VmView& view : this->vms) {
     if (!view.status->retired && this->now - view.last_maintained >= due_after) {
       view.need = Need::kReboot;
--- a/src/maintenance/planner.cc
+++ b/src/maintenance/planner.cc
@@ -15,32 +15,32 @@
 
 using config_log::Step;
 
-/// Rounds of a stretched wave that are left for its tail. Grounds: steps differ in length by a
-/// factor of two, so the last pools end about one step apart; a wave of eight rounds that was
-/// stretched by a tenth ended up to 1.27 times its lower bound without this.
+/// Rounds of a stretched wave that are reserved for pools that end late. Steps differ in duration
+/// by a factor of two, so the last pools end about one step apart; without this, a wave of eight
+/// rounds with a stretch of 1.1 takes up to 1.27 times its lower bound.
 constexpr double kTailRounds = 1.0;
 
-/// The width at which the wave ends in its stretched time.
+/// Returns the width at which the wave ends within its stretched duration.
 WaveTarget MakeTarget(const WaveShape& shape, double stretch) {
   WaveTarget target;
-  const double least = std::max<std::uint32_t>(shape.LowerBound(), 1);
-  target.rounds = std::max(least, stretch * least - kTailRounds);
+  const double lower_bound = std::max<std::uint32_t>(shape.LowerBound(), 1);
+  target.rounds = std::max(lower_bound, stretch * lower_bound - kTailRounds);
   target.width = static_cast<std::uint32_t>(std::ceil(shape.Remaining() / target.rounds));
   return target;
 }
 
-/// Whether the move's date leaves no time to save buffer.
-bool IsDatePressing(const FleetView& view, const WaveShape& shape, const StepTimes& times) {
+/// Whether the move's date is too near to stretch the wave.
+bool IsDateNear(const FleetView& view, const WaveShape& shape, const StepTimes& times) {
   const auto& move = view.state->inventory.move;
   if (!move || !shape.HasMoves()) {
     return false;
   }
-  constexpr int kPressingFactor = 2;
-  return view.now + StepLength(times) * shape.Rounds() * kPressingFactor > move->date;
+  constexpr int kNearDateFactor = 2;
+  return view.now + StepDuration(times) * shape.Rounds() * kNearDateFactor > move->date;
 }
 
-/// The id is unique: no two plans of one entry at one offset claim a VM for different steps, and
-/// the offset has moved on once a step of this id has been folded.
+/// The id is unique: plans of one entry at one log offset never claim a VM for different steps, and
+/// the offset has advanced once a step with this id has been folded.
 StepId MakeStepId(const FleetView& view, const EntryId& self, const VmId& vm) {
   return StepId{self.text + "." + std::to_string(view.state->next_offset) + "." + vm.text};
 }
@@ -60,20 +60,20 @@
 
 void SelectSteps(WaveSelector& selector, const StepReview& review) {
   if (review.IsViewStale()) {
-    selector.WaitAll(WaitReason::kStaleView);
+    selector.AddWaits(WaitReason::kStaleView);
     return;
   }
-  // Filling in for lost VMs is the repair and goes on when the wave has stopped.
-  selector.SelectFills();
+  // Lost VMs are still replaced by spare VMs after the wave has stopped.
+  selector.SelectSpareAssignments();
   if (review.IsWaveStopped()) {
-    selector.WaitAll(WaitReason::kWaveStopped);
+    selector.AddWaits(WaitReason::kWaveStopped);
     return;
   }
   selector.SelectDue();
   selector.SelectReturns();
 }
 
-WaveState JudgeWave(const Plan& plan, const StepReview& review, std::size_t held) {
+WaveState AssessWave(const Plan& plan, const StepReview& review, std::size_t held) {
   if (review.IsWaveStopped()) {
     return WaveState::kStopped;
   }
@@ -90,7 +90,7 @@
   const WaveShape shape(view);
   const StepReview review(view, observations);
   double stretch = ChooseStretch(state.inventory.maintenance.weights, this->options.max_stretch);
-  if (IsDatePressing(view, shape, observations.step_times)) {
+  if (IsDateNear(view, shape, observations.step_times)) {
     stretch = 1.0;
   }
   WaveSelector selector(view, shape, MakeTarget(shape, stretch));
@@ -104,7 +104,7 @@
   plan.withdrawals = review.Withdrawals();
   plan.take_overs = review.TakeOvers();
   plan.undrains = review.Undrains();
-  plan.wave = JudgeWave(plan, review, state.steps.size());
+  plan.wave = AssessWave(plan, review, state.steps.size());
   plan.remaining_steps = shape.Remaining();
   plan.forecast = MakeForecast(view, shape, observations.step_times, stretch);
   plan.appends_claims =
--- a/src/maintenance/step_executor.cc
+++ b/src/maintenance/step_executor.cc
@@ -11,23 +11,23 @@
 using config_log::StepAction;
 using config_log::StepPhase;
 
-/// How often a call to the endpoint or platform is repeated. Grounds: a call answers in
-/// milliseconds, and a drain is followed closely enough by one question a second.
+/// Interval at which calls to the endpoint or platform are repeated. A call is answered within
+/// milliseconds, and polling a drain once a second is frequent enough.
 constexpr Duration kCallRepeat = std::chrono::seconds(1);
 
-/// How often a record that was not read back is appended again. Grounds: the appender below repeats
-/// lost appends itself; this covers one that it gave up.
+/// Interval at which a record that was not read back is appended again. The log appender retries
+/// lost appends itself; this covers those that it abandoned.
 constexpr Duration kAppendRepeat = std::chrono::seconds(5);
 
-/// How long a claim or take-over is repeated without being read back. Grounds: records are read
-/// back within seconds while the log is there; a plan older than this is made anew.
-constexpr Duration kClaimPatience = std::chrono::minutes(1);
+/// How long a claim or take-over is repeated without being read back. Records are read back within
+/// seconds while the log is reachable; an older plan is replaced by a new one.
+constexpr Duration kClaimTimeout = std::chrono::minutes(1);
 
-/// Unanswered calls before silence counts. Grounds: time also passes while this process is paused
-/// or cut off, and says nothing about the other side then; ten calls are ten seconds of asking.
+/// Minimum number of attempts before a missing answer counts. Time also passes while this process
+/// is paused or cut off, which says nothing about the other side; ten calls take ten seconds.
 constexpr std::uint32_t kMinAttempts = 10;
 
-/// The record that a stage waits to read back, if any.
+/// The record that a stage waits to read back from the log, if any.
 std::optional<StepRecord> AppendedIn(ExecutorStage stage) {
   switch (stage) {
     case ExecutorStage::kClaiming:
@@ -94,7 +94,7 @@
     case StepRecord::kClaim:
       return this->stage == ExecutorStage::kClaiming ? this->EnterPhase(now) : Outputs();
     case StepRecord::kTakeOver:
-      // The phase may have gone on since the plan was made, so only `FoldedStep` begins the work.
+      // The phase may have advanced since the plan was made, so only `FoldedStep` starts the work.
       return {};
     case StepRecord::kActing:
       if (this->stage != ExecutorStage::kEnteringAct) {
@@ -110,13 +110,14 @@
 }
 
 StepExecutor::Outputs StepExecutor::OnRejected(StepRecord record, TimePoint now) {
-  // A record may be appended twice, and the fold rejects the second one. That says nothing once the
-  // step has gone on.
+  // A record may be appended twice, and the fold rejects the second copy. Such a rejection is
+  // ignored once the step is in a later stage.
   if (AppendedIn(this->stage) != record) {
     return {};
   }
-  // The fold refuses "acting" of a step that is still ours when the budget has gone meanwhile. Had
-  // the step gone to another executor, `FoldedStep` of the same batch would have ended this one.
+  // The fold rejects "acting" of a step that this executor still owns if the budget no longer
+  // allows it. If another executor had taken over, the `FoldedStep` of the same batch would have
+  // ended this executor.
   return this->Enter(
       record == StepRecord::kActing ? ExecutorStage::kUndoing : ExecutorStage::kFinished, now);
 }
@@ -139,12 +140,12 @@
   if (phase_moved && this->stage == ExecutorStage::kEnteringAct) {
     return this->Enter(ExecutorStage::kConfirmingDrain, now);
   }
-  // A phase that moved without this executor was recorded by the one before it.
+  // A phase change that this executor didn't record was recorded by the previous executor.
   return starts || phase_moved ? this->EnterPhase(now) : Outputs();
 }
 
 StepExecutor::Outputs StepExecutor::On(const DrainAnswer& input, TimePoint now) {
-  this->drain_contact = DrainContact::kAnswered;
+  this->endpoint_contact = EndpointContact::kAnswered;
   if (input.running > 0) {
     return {};
   }
@@ -190,8 +191,8 @@
 }
 
 StepExecutor::Outputs StepExecutor::On(const DescribeAnswer& input, TimePoint now) {
-  // `last_step` and not the boot counter tells whether this step's reboot took place: the VM may
-  // have been rebooted by a failure as well, and then still has to be.
+  // `last_step`, not the boot counter, shows whether this step's reboot took place: after a reboot
+  // caused by a failure, the step must still reboot the VM.
   const bool rebooted = input.last_step == this->step.id;
   if (!rebooted) {
     this->boot_before = input.boot;
@@ -206,8 +207,8 @@
       if (rebooted && input.state == PlatformVmState::kLive && input.boot != this->boot_before) {
         return this->Enter(ExecutorStage::kUndraining, now);
       }
-      // Judged on the platform's word of this moment: after a pause of this process the time alone
-      // would call a VM failed that came back long ago.
+      // Decided on the platform's current answer: after a pause of this process, the elapsed time
+      // alone would mark a VM as failed that came back long ago.
       return now - this->stage_since > this->reboot_timeout ? this->RecordFailure(now) : Outputs();
     case ExecutorStage::kRebooting:
       // The reboot's answer was lost.
@@ -218,7 +219,8 @@
 }
 
 StepExecutor::Outputs StepExecutor::On(const WithdrawalRequested& /*input*/, TimePoint now) {
-  // Once "acting" is on its way to the log it may take effect, and only the act itself ends it.
+  // Once "acting" has been sent to the log it may take effect, and the step can no longer be
+  // undone.
   if (this->stage == ExecutorStage::kDraining || this->stage == ExecutorStage::kChecking) {
     return this->Enter(ExecutorStage::kUndoing, now);
   }
@@ -239,7 +241,7 @@
   return this->StageOutputs();
 }
 
-bool StepExecutor::IsSilentFor(Duration timeout, TimePoint now) const {
+bool StepExecutor::IsUnansweredFor(Duration timeout, TimePoint now) const {
   return now - this->stage_since > timeout && this->attempts >= kMinAttempts;
 }
 
@@ -247,28 +249,29 @@
   switch (this->stage) {
     case ExecutorStage::kClaiming:
     case ExecutorStage::kTakingOver:
-      // The step may have come and gone unseen, and repeating its record would never end. Should
-      // the record take effect later, the folded step names this entry and is resumed.
-      return this->IsSilentFor(kClaimPatience, now) ? this->Enter(ExecutorStage::kFinished, now)
-                                                    : Outputs();
+      // The step may have started and ended unobserved, and its record would be repeated forever.
+      // If the record takes effect later, the folded step names this entry and is resumed.
+      return this->IsUnansweredFor(kClaimTimeout, now) ? this->Enter(ExecutorStage::kFinished, now)
+                                                       : Outputs();
     case ExecutorStage::kDraining:
     case ExecutorStage::kChecking:
-      // A long task is never cut: the drain is given up and the VM comes again later.
+      // A long task is never interrupted: the drain is abandoned and the VM is planned again later.
       return now - this->drain_since > this->drain_timeout
                  ? this->Enter(ExecutorStage::kUndoing, now)
                  : Outputs();
     case ExecutorStage::kUndoing:
-      // The endpoint does not answer. The planner undrains it once it is back.
-      return this->IsSilentFor(this->drain_timeout, now)
+      // The endpoint does not answer. The planner undrains it once it answers again.
+      return this->IsUnansweredFor(this->drain_timeout, now)
                  ? this->Enter(ExecutorStage::kRecordingWithdrawn, now)
                  : Outputs();
     case ExecutorStage::kUndraining:
-      // The VM is back by the platform's word, yet its endpoint does not answer.
-      return this->IsSilentFor(this->reboot_timeout, now) ? this->RecordFailure(now) : Outputs();
+      // The platform reports the VM as live, but its endpoint does not answer.
+      return this->IsUnansweredFor(this->reboot_timeout, now) ? this->RecordFailure(now)
+                                                              : Outputs();
     case ExecutorStage::kConfirmingDrain:
-      // The VM died while "acting" was recorded. It was empty before that, and has been held since.
-      return this->drain_contact == DrainContact::kSilent &&
-                     this->IsSilentFor(this->drain_timeout, now)
+      // The VM failed while "acting" was recorded. It ran no tasks before, and has been held since.
+      return this->endpoint_contact == EndpointContact::kNone &&
+                     this->IsUnansweredFor(this->drain_timeout, now)
                  ? this->EnterIrreversibleAct(now)
                  : Outputs();
     default:
@@ -308,7 +311,7 @@
   this->stage = next;
   this->stage_since = now;
   this->attempts = 1;
-  this->drain_contact = DrainContact::kSilent;
+  this->endpoint_contact = EndpointContact::kNone;
   this->last_outputs = now;
   return this->StageOutputs();
 }
--- a/src/maintenance/step_review.h
+++ b/src/maintenance/step_review.h
@@ -8,7 +8,7 @@
 
 namespace chervilspar::maintenance {
 
-/// Looks over the steps under way: which to withdraw, which to take over, whether the wave has to
+/// Reviews the steps in progress: which to withdraw, which to take over, and whether the wave must
 /// stop.
 class StepReview {
  public:
@@ -21,16 +21,16 @@
   const std::vector<VmId>& Undrains() const { return this->undrains; }
 
  private:
-  /// Counts failures that the wave may have caused, and those that came while it ran.
-  void JudgeWave(const FleetView& view);
+  /// Counts the failures that steps caused, and those that occurred while the wave ran.
+  void AssessWave(const FleetView& view);
   void WithdrawFrom(const FleetView& view, const PoolView& pool);
   void FindTakeOvers(const FleetView& view, const Observations& observations);
   void FindUndrains(const FleetView& view, const Observations& observations);
 
   bool is_view_stale = false;
   bool is_wave_stopped = false;
-  /// Enough VMs did not survive their own step to undo the ones that drain.
-  bool is_wave_harmful = false;
+  /// Whether enough VMs failed after their reboot that draining reboot steps are withdrawn.
+  bool has_failing_reboots = false;
   std::vector<StepWithdrawal> withdrawals;
   std::vector<StepTakeOver> take_overs;
   std::vector<VmId> undrains;
--- a/src/maintenance/wave_selector.cc
+++ b/src/maintenance/wave_selector.cc
@@ -16,9 +16,10 @@
 
 using config_log::StepAction;
 
-/// Most due steps that one plan begins. Grounds: an entry appends 20 records a second on average
-/// and a step takes three; a plan is made about once a second. Without this a wave over thousands
-/// of VMs appends more than a thousand claims at once, which time out before they are read back.
+/// Maximum number of steps that a plan begins before due VMs wait. An entry appends 20 records a
+/// second on average, a step takes three records, and a plan is made about once a second. Without
+/// the limit, a wave over thousands of VMs appends more than a thousand claims at once, which time
+/// out before they are read back.
 constexpr std::size_t kMaxNewSteps = 8;
 
 StepAction ActionFor(Need need) {
@@ -47,7 +48,7 @@
       zone_rank(view.held_in_zone.size()),
       is_selected(view.vms.size()) {
   for (Index i = 0; i < this->pools.size(); ++i) {
-    this->pools[i].room = FleetView::RoomNow(view.pools[i]);
+    this->pools[i].free_capacity = FleetView::FreeCapacity(view.pools[i]);
     this->pools[i].zones = view.pools[i].held_zones;
   }
   this->CollectDue();
@@ -61,13 +62,13 @@
       continue;
     }
     if (vm.step) {
-      this->Wait(i, WaitReason::kStepRunning);
+      this->AddWait(i, WaitReason::kStepRunning);
       continue;
     }
     this->pools[vm.pool].due.push_back(i);
     ++due_in_zone[vm.zone];
   }
-  // The wave stays in the zone that it works in, and otherwise begins where most is due.
+  // The wave prefers zones where it already holds VMs, then zones with the most due VMs.
   std::vector<Index> order(this->zone_rank.size());
   std::iota(order.begin(), order.end(), 0);
   std::sort(order.begin(), order.end(), [&](Index left, Index right) {
@@ -96,14 +97,14 @@
             [&key](Index left, Index right) { return key(left) > key(right); });
 }
 
-void WaveSelector::SelectFills() {
-  for (const SpareFill& fill : this->shape.Fills()) {
-    for (std::uint32_t i = 0; i < fill.count; ++i) {
-      const auto spare = this->FindSpare(fill.pool);
+void WaveSelector::SelectSpareAssignments() {
+  for (const SpareAssignment& assignment : this->shape.SpareAssignments()) {
+    for (std::uint32_t i = 0; i < assignment.count; ++i) {
+      const auto spare = this->FindSpare(assignment.pool);
       if (!spare) {
         break;
       }
-      this->Hold(*spare, StepAction::kMove, this->view.pools[fill.pool].pool->id);
+      this->Hold(*spare, StepAction::kMove, this->view.pools[assignment.pool].pool->id);
     }
   }
 }
@@ -115,10 +116,10 @@
       continue;
     }
     const PoolView& pool = this->view.pools[vm.pool];
-    const bool has_rack_room = this->held_in_rack[vm.rack] < this->rack_limit;
-    const bool is_whole = pool.available + pool.held == pool.members;
-    if (is_whole && has_rack_room && !this->shape.HasWork(vm.pool) &&
-        this->pools[vm.pool].room >= 1) {
+    const bool has_rack_capacity = this->held_in_rack[vm.rack] < this->rack_limit;
+    const bool is_complete = pool.available + pool.held == pool.members;
+    if (is_complete && has_rack_capacity && !this->shape.HasWork(vm.pool) &&
+        this->pools[vm.pool].free_capacity >= 1) {
       this->Hold(i, StepAction::kMove, vm.status->declared_pool);
     }
   }
@@ -132,7 +133,7 @@
   }
   std::optional<Index> best;
   for (Index pool = 0; pool < this->pools.size(); ++pool) {
-    if (pool == for_pool || this->pools[pool].room <= 0) {
+    if (pool == for_pool || this->pools[pool].free_capacity <= 0) {
       continue;
     }
     const bool is_spare_pool = this->view.pools[pool].pool->kind == inventory::PoolKind::kSpare;
@@ -142,7 +143,7 @@
           !(is_spare_pool || vm.is_lent) || !this->IsSpareUsable(vm, accelerators)) {
         continue;
       }
-      // The zone with the fewest VMs left gets the spare.
+      // Prefer a spare VM in the zone where the pool has the fewest available VMs.
       const bool is_better =
           !best || members_in_zone[vm.zone] < members_in_zone[this->view.vms[*best].zone];
       best = is_better ? candidate : *best;
@@ -152,8 +153,8 @@
 }
 
 bool WaveSelector::IsSpareUsable(const VmView& vm, std::uint32_t accelerators) const {
-  const bool stays = vm.need == Need::kNone || vm.need == Need::kReboot;
-  return vm.is_available && stays && vm.vm->accelerators >= accelerators;
+  const bool stays_in_pool = vm.need == Need::kNone || vm.need == Need::kReboot;
+  return vm.is_available && stays_in_pool && vm.vm->accelerators >= accelerators;
 }
 
 std::uint32_t WaveSelector::NeededAccelerators(Index pool) const {
@@ -178,7 +179,7 @@
     if (!this->SelectOne(pool)) {
       continue;
     }
-    // One step less is one step's share of the pool's way less.
+    // Each selected step shortens the pool's remaining rounds in proportion.
     const auto left = static_cast<double>(this->pools[pool].due.size());
     queue.emplace(rounds * left / (left + 1.0), pool);
   }
@@ -195,7 +196,7 @@
     const VmView& vm = this->view.vms[index];
     const auto obstacle = this->FindObstacle(vm, cursor);
     if (obstacle) {
-      this->Wait(index, *obstacle);
+      this->AddWait(index, *obstacle);
       continue;
     }
     this->Hold(index, ActionFor(vm.need), vm.to_pool);
@@ -208,10 +209,10 @@
   const bool is_held_zone =
       std::find(cursor.zones.begin(), cursor.zones.end(), vm.zone) != cursor.zones.end();
   const std::size_t zones = cursor.zones.size() + (is_held_zone ? 0 : 1);
-  if (zones <= 1 || cursor.room >= 1 + static_cast<std::int64_t>(kSecondZoneRoom)) {
+  if (zones <= 1 || cursor.free_capacity >= 1 + static_cast<std::int64_t>(kSecondZoneReserve)) {
     return false;
   }
-  // A pool that would make the whole wave late uses the room that its budget allows.
+  // A pool that would delay the whole wave uses all the free capacity that its budget allows.
   return this->shape.RoundsInOneZone(vm.pool) <= this->target.rounds;
 }
 
@@ -223,7 +224,7 @@
   if (vm.to_pool && !this->view.FindPool(*vm.to_pool)) {
     return WaitReason::kNoTarget;
   }
-  if (cursor.room < 1) {
+  if (cursor.free_capacity < 1) {
     return WaitReason::kPoolBudget;
   }
   if (this->held_in_rack[vm.rack] >= this->rack_limit) {
@@ -241,7 +242,7 @@
 void WaveSelector::Hold(Index index, StepAction action, std::optional<PoolId> to_pool) {
   const VmView& vm = this->view.vms[index];
   PoolCursor& cursor = this->pools[vm.pool];
-  --cursor.room;
+  --cursor.free_capacity;
   if (std::find(cursor.zones.begin(), cursor.zones.end(), vm.zone) == cursor.zones.end()) {
     cursor.zones.push_back(vm.zone);
   }
@@ -252,16 +253,16 @@
   this->selections.push_back(Selection{index, action, std::move(to_pool)});
 }
 
-void WaveSelector::Wait(Index index, WaitReason reason) {
+void WaveSelector::AddWait(Index index, WaitReason reason) {
   const VmView& vm = this->view.vms[index];
   this->waits.push_back(VmWait{vm.vm->id, reason, vm.vm->pool, vm.vm->rack});
 }
 
-void WaveSelector::WaitAll(WaitReason reason) {
+void WaveSelector::AddWaits(WaitReason reason) {
   for (PoolCursor& cursor : this->pools) {
     for (const Index index : cursor.due) {
       if (!this->is_selected[index]) {
-        this->Wait(index, this->view.vms[index].is_lost ? WaitReason::kVmUnavailable : reason);
+        this->AddWait(index, this->view.vms[index].is_lost ? WaitReason::kVmUnavailable : reason);
       }
     }
     cursor.due.clear();
--- a/tests/maintenance/date_forecast_test.cc
+++ b/tests/maintenance/date_forecast_test.cc
@@ -17,7 +17,7 @@
 constexpr StepTimes kTimes;
 constexpr Duration kStep = kTimes.drain + kTimes.reboot + kTimes.overhead;
 
-/// A move with its date, counted from now, and what the forecast has to say.
+/// A fleet with a move, and the expected forecast.
 struct DateCase {
   std::string name;
   std::function<void(FleetFixture&)> arrange;
@@ -31,9 +31,9 @@
 
 class DateForecastTest : public testing::TestWithParam<DateCase> {};
 
-// A date that can't be met is told when it is published. Found out on the day, it means that the
-// last VMs are cut off with the building.
-TEST_P(DateForecastTest, JudgesTheDate) {
+// A date that can't be met must be reported when the inventory is published. If it is noticed only
+// on that date, the last VMs are shut down with the building.
+TEST_P(DateForecastTest, AssessesTheDate) {
   FleetFixture fleet;
   fleet.state.inventory.maintenance.every = Duration::zero();
   GetParam().arrange(fleet);
@@ -59,7 +59,7 @@
                                SetDate(fleet, std::chrono::minutes(1));
                              },
                              DateVerdict::kTooEarly, 0},
-                    DateCase{"MoreThanThePoolCanGive",
+                    DateCase{"MoreThanThePoolCanRelease",
                              [](FleetFixture& fleet) {
                                fleet.MoveOut({MoveTarget{fleet.VmAt(0), std::nullopt},
                                               MoveTarget{fleet.VmAt(1), std::nullopt},
@@ -80,7 +80,7 @@
                                               MoveTarget{fleet.VmAt(10), ServingPool(0)}});
                              },
                              DateVerdict::kNever, 2},
-                    DateCase{"RoutineHasNoRoomButTheMoveHas",
+                    DateCase{"OnlyTheMoveHasFreeCapacity",
                              [](FleetFixture& fleet) {
                                fleet.SetSlack(0);
                                fleet.state.inventory.maintenance.every = std::chrono::hours(24);
--- a/tests/maintenance/fleet_fixture.h
+++ b/tests/maintenance/fleet_fixture.h
@@ -18,11 +18,12 @@
 
 inline constexpr WallTime kNow{std::chrono::seconds(1'800'000'000)};
 
-/// Stands for every VM.
+/// Selects all VMs.
 inline constexpr std::uint32_t kAllVms = static_cast<std::uint32_t>(-1);
 
-/// Five serving pools of ten VMs (0..9, 10..19, ...) over three zones, two of each pool may be
-/// missing, and four spare VMs (50..53). All are seen live and due. Each VM has a rack of its own.
+/// Five serving pools of ten VMs (0..9, 10..19, ...) in three zones, and four spare VMs (50..53).
+/// Each serving pool's budget allows two unavailable VMs. All VMs are observed as live and are due.
+/// Each VM has its own rack.
 class FleetFixture {
  public:
   explicit FleetFixture(const bench::WaveFleetShape& shape = {});
@@ -38,13 +39,13 @@
   void PutInRack(std::uint32_t vm, const std::string& rack);
   void PutInZone(std::uint32_t vm, const std::string& zone);
   void MoveOut(std::vector<inventory::MoveTarget> targets);
-  /// A reboot step holds the VM since a minute ago.
+  /// Adds a reboot step for the VM that was claimed a minute ago.
   void HoldVm(std::uint32_t vm, config_log::StepPhase phase = config_log::StepPhase::kDraining);
-  /// Failed and gone from the list ten seconds ago.
+  /// Lets the VM fail and leave the VM list ten seconds ago.
   void FailNow(std::uint32_t vm);
-  /// Did not come back from its last step.
+  /// Marks the VM as failed after its last step.
   void FailAfterStep(std::uint32_t vm);
-  /// A spare VM that a move has brought into `pool`.
+  /// Lends a spare VM to `pool`.
   void Lend(std::uint32_t vm, const PoolId& pool);
 
   config_log::FleetState state;
--- a/tests/maintenance/planner_test.cc
+++ b/tests/maintenance/planner_test.cc
@@ -39,13 +39,13 @@
                     [reason](const VmWait& wait) { return wait.reason == reason; }));
 }
 
-/// A fleet, what happens to it, and what the plan has to be.
+/// A fleet and the expected plan.
 struct PlanCase {
   std::string name;
   std::function<void(FleetFixture&)> arrange;
-  /// Claims in the first pool.
+  /// Expected number of claims in the first pool.
   std::size_t claims = 0;
-  /// A reason that some VM must wait for, if any must.
+  /// A reason for which at least one VM must wait, if any.
   std::optional<WaitReason> reason;
 };
 
@@ -81,10 +81,10 @@
                              0, std::nullopt}),
     [](const auto& info) { return info.param.name; });
 
-// Room is gone before the wave begins, or is not known to be there. Draining a VM all the same
-// would leave the pool below its budget once one more VM fails.
+// The free capacity is used up before the wave begins, or is uncertain. Draining a VM then would
+// leave the pool below its budget once one more VM fails.
 INSTANTIATE_TEST_SUITE_P(
-    Room, PlannerTableTest,
+    FreeCapacity, PlannerTableTest,
     testing::Values(
         PlanCase{"OneVmFailed",
                  [](FleetFixture& fleet) { fleet.SetCondition(0, VmCondition::kFailed); }, 0,
@@ -110,8 +110,9 @@
             0, WaitReason::kStaleView}),
     [](const auto& info) { return info.param.name; });
 
-// A rack loses its power or a zone is cut while steps hold VMs elsewhere: the losses add up. Steps
-// of one wave keep to one VM of a rack and, unless there is room, to one zone of a pool.
+// When a rack loses power or a zone is cut off while steps hold VMs elsewhere, the losses add up.
+// The steps of a wave hold at most one VM of a rack and, without free capacity, VMs of only one
+// zone of a pool.
 INSTANTIATE_TEST_SUITE_P(Domains, PlannerTableTest,
                          testing::Values(PlanCase{"RackHoldsAStep",
                                                   [](FleetFixture& fleet) {
@@ -120,14 +121,14 @@
                                                     fleet.HoldVm(15);
                                                   },
                                                   0, WaitReason::kRackLimit},
-                                         PlanCase{"NoRoomForASecondZone",
+                                         PlanCase{"NoCapacityForASecondZone",
                                                   [](FleetFixture& fleet) {
                                                     fleet.SetPoolSlack(0, 3);
                                                     fleet.PutInZone(0, "own-zone");
                                                     fleet.HoldVm(0);
                                                   },
                                                   0, WaitReason::kOtherZone},
-                                         PlanCase{"RoomForOneInASecondZone",
+                                         PlanCase{"CapacityForOneInASecondZone",
                                                   [](FleetFixture& fleet) {
                                                     fleet.SetSlack(6);
                                                     fleet.SetPoolSlack(0, 4);
@@ -145,8 +146,8 @@
                                                   1, std::nullopt}),
                          [](const auto& info) { return info.param.name; });
 
-// A reboot with a bad image kills VM after VM. Nobody is awake at night to stop it, so the wave
-// stops itself and the rest of the fleet goes on serving.
+// VMs fail after a reboot with a bad image. The wave must stop without an operator, so that the
+// rest of the fleet keeps serving.
 INSTANTIATE_TEST_SUITE_P(
     Stopping, PlannerTableTest,
     testing::Values(PlanCase{"TwoDidNotSurviveTheirStep",
@@ -157,7 +158,7 @@
                              0, WaitReason::kWaveStopped},
                     PlanCase{"OneDidNot", [](FleetFixture& fleet) { fleet.FailAfterStep(20); }, 1,
                              std::nullopt},
-                    PlanCase{"TwoFailedWhileTheirPoolWasWorkedOn",
+                    PlanCase{"TwoFailedWhileTheirPoolHadAStep",
                              [](FleetFixture& fleet) {
                                fleet.HoldVm(20);
                                fleet.FailNow(21);
@@ -172,15 +173,16 @@
                              1, std::nullopt}),
     [](const auto& info) { return info.param.name; });
 
-// A rack fails while the wave drains VMs of the same pools. The drains that have not come to the
-// reboot are undone, as many as it takes; one that acts can't be undone.
+// A rack fails while the wave drains VMs of the same pool. As many steps as necessary are withdrawn
+// before their reboot; a step that is already acting can't be withdrawn.
 TEST(PlannerTest, RackFailureWithdrawsDrainingSteps) {
   FleetFixture fleet;
   fleet.SetSlack(3);
   fleet.HoldVm(0);
   fleet.HoldVm(3);
   fleet.HoldVm(6, StepPhase::kActing);
-  EXPECT_TRUE(PlanFor(fleet).withdrawals.size() == 1) << "three held leave no room for a failure";
+  EXPECT_TRUE(PlanFor(fleet).withdrawals.size() == 1)
+      << "with three VMs held, a failure would break the budget";
   fleet.FailNow(1);
   const Plan plan = PlanFor(fleet);
   ASSERT_EQ(plan.withdrawals.size(), 2U);
@@ -190,8 +192,8 @@
   }
 }
 
-// The list of VMs stops for a minute. Nothing is known to have failed, so nothing is undone: a late
-// list must not cost a round of drains.
+// The VM list is a minute old. No VM is known to have failed, so no step is withdrawn: a late list
+// must not cause another round of drains.
 TEST(PlannerTest, StaleListWithdrawsNothing) {
   FleetFixture fleet;
   fleet.HoldVm(0);
@@ -199,9 +201,9 @@
   EXPECT_TRUE(PlanFor(fleet).withdrawals.empty());
 }
 
-// Reboots kill their VMs. Drains that are under way are undone, even where the budget would bear
-// the next dead VM; after a failure that the wave did not cause they go on.
-TEST(PlannerTest, HarmfulWaveUndoesItsDrains) {
+// VMs fail after their reboot. Steps that are still draining are withdrawn once the limit of such
+// failures is reached, even if the budget would allow another failed VM.
+TEST(PlannerTest, FailingRebootsWithdrawDrainingSteps) {
   FleetFixture fleet;
   fleet.HoldVm(0);
   fleet.FailAfterStep(20);
@@ -212,7 +214,7 @@
   EXPECT_EQ(plan.withdrawals[0].cause.reason, WaitReason::kWaveStopped);
 }
 
-TEST(PlannerTest, VmLostWhileDrainingIsGivenUp) {
+TEST(PlannerTest, VmLostWhileDrainingIsWithdrawn) {
   FleetFixture fleet;
   fleet.HoldVm(0);
   fleet.FailNow(0);
@@ -221,8 +223,8 @@
   EXPECT_EQ(plan.withdrawals[0].cause.reason, WaitReason::kVmUnavailable);
 }
 
-// Two VMs of a pool are gone for longer than a reboot lasts, and the next failure would break the
-// budget. A VM of the spare pool fills in although the wave itself has no room.
+// Two VMs of a pool are lost for longer than a reboot lasts, and the next failure would break the
+// budget. A VM of the spare pool replaces one although the wave itself has no free capacity.
 TEST(PlannerTest, SpareVmsFillInForLostOnes) {
   FleetFixture fleet;
   fleet.SetCondition(0, VmCondition::kFailed);
@@ -235,8 +237,8 @@
   EXPECT_EQ(moves, 1);
 }
 
-// All spare VMs are lent out when a pool loses VMs. One of them goes on to the pool in need instead
-// of waiting for the wave's end.
+// All spare VMs are lent when a pool loses VMs. One of them moves directly to that pool instead of
+// returning to the spare pool first.
 TEST(PlannerTest, LentVmsServeLossesElsewhere) {
   FleetFixture fleet;
   fleet.SetMaintained(kNow);
@@ -252,8 +254,8 @@
   EXPECT_EQ(moves, 1);
 }
 
-// A VM that has just gone may merely be rebooting. While the budget holds, no spare VM is moved for
-// it; below the budget it is moved at once.
+// A VM that was lost just now may only be rebooting. While the pool keeps its budget, no spare VM
+// replaces it; below the budget a spare VM is moved at once.
 TEST(PlannerTest, SpareVmsWaitForAFreshLossUnlessTheBudgetIsBroken) {
   FleetFixture fleet;
   fleet.FailNow(0);
@@ -268,8 +270,8 @@
   EXPECT_EQ(moves(), 1);
 }
 
-// The losses are over and the wave is done: the lent VM goes home, or the spare pool would be empty
-// at the next failure.
+// Once the losses are over and the wave has ended, the lent VM returns. Otherwise the spare pool
+// would be empty at the next failure.
 TEST(PlannerTest, LentVmReturnsToTheSparePool) {
   FleetFixture fleet;
   fleet.SetMaintained(kNow);
@@ -281,7 +283,7 @@
   EXPECT_TRUE(PlanFor(fleet).claims.empty()) << "a pool with losses keeps it";
 }
 
-// A pool whose budget leaves no room at all would never be maintained; a spare VM makes the room.
+// A pool whose budget leaves no free capacity would never be maintained; a spare VM adds capacity.
 TEST(PlannerTest, SpareVmMakesRoomInATightPool) {
   FleetFixture fleet;
   fleet.SetSlack(1);
@@ -309,8 +311,9 @@
   EXPECT_EQ(CountWaits(PlanFor(fleet), WaitReason::kNoTarget), 1U);
 }
 
-// An executor is gone. Exactly one of the live entries takes its step over, whichever of them
-// plans; one that ranks lower than the executor waits, for it may only be cut off from it.
+// An executor is unreachable. All live entries choose the same successor for its step, whichever of
+// them makes the plan. An entry that ranks lower than the executor waits before it takes over,
+// since it may only be cut off from the executor.
 TEST(PlannerTest, OneEntryTakesOver) {
   FleetFixture fleet;
   fleet.HoldVm(0);
@@ -327,21 +330,21 @@
   FleetFixture fleet;
   fleet.HoldVm(0);
   Step& step = fleet.state.steps.at(fleet.StepOf(0));
-  int taken = 0;
+  int take_overs_done = 0;
   for (int round = 0; round < 10; ++round) {
-    const EntryId reader = step.executor == kEntryA ? kEntryB : kEntryA;
-    fleet.observations.live_entries = {reader};
-    const Plan plan = Planner(reader).MakePlan(fleet.state, fleet.observations, kNow);
+    const EntryId planning_entry = step.executor == kEntryA ? kEntryB : kEntryA;
+    fleet.observations.live_entries = {planning_entry};
+    const Plan plan = Planner(planning_entry).MakePlan(fleet.state, fleet.observations, kNow);
     if (!plan.take_overs.empty()) {
-      step.executor = reader;
-      ++taken;
+      step.executor = planning_entry;
+      ++take_overs_done;
     }
   }
-  EXPECT_LE(taken, 1);
+  EXPECT_LE(take_overs_done, 1);
 }
 
-// An executor died between the drain and its record. The endpoint refuses work although no step
-// holds its VM, and its slots would be lost until somebody looked.
+// An executor crashed between a drain and its record. The endpoint refuses tasks although no step
+// holds its VM; without an undrain its slots would stay unused.
 TEST(PlannerTest, ForgottenDrainIsUndone) {
   FleetFixture fleet;
   fleet.observations.vms[fleet.VmAt(4)].drain_state = DrainState::kDraining;
@@ -350,10 +353,9 @@
   EXPECT_EQ(PlanFor(fleet).undrains, std::vector<VmId>{fleet.VmAt(4)});
 }
 
-// A large fleet falls due at once. The claims come at the pace at which an entry may append, since
-// a thousand at once would time out and be repeated, and the log would have no room for anything
-// else.
-TEST(PlannerTest, LargeFleetBeginsStepsAtTheLogsPace) {
+// A large fleet falls due at once. Claims are limited to the rate at which an entry may append: a
+// thousand at once would time out, be repeated, and leave no append capacity for other records.
+TEST(PlannerTest, LargeFleetBeginsStepsAtTheAppendRate) {
   WaveFleetShape shape;
   shape.serving_pools = 40;
   const FleetFixture fleet(shape);
@@ -373,7 +375,7 @@
   }
 }
 
-/// What the last look just before the reboot has to say.
+/// A fleet and the expected result of the check just before the reboot.
 struct CheckCase {
   std::string name;
   std::function<void(FleetFixture&)> arrange;
@@ -382,9 +384,9 @@
 
 class FinalCheckTest : public testing::TestWithParam<CheckCase> {};
 
-// Between the plan and the reboot lies a drain of minutes, in which VMs fail and views grow old. A
-// reboot on the strength of the plan alone would take the pool below its budget.
-TEST_P(FinalCheckTest, LooksAgain) {
+// Draining takes minutes between the plan and the reboot, in which VMs may fail and observations
+// become stale. A reboot based only on the plan could take the pool below its budget.
+TEST_P(FinalCheckTest, ChecksFreshObservations) {
   FleetFixture fleet;
   fleet.HoldVm(0);
   GetParam().arrange(fleet);
@@ -395,7 +397,7 @@
 INSTANTIATE_TEST_SUITE_P(
     Cases, FinalCheckTest,
     testing::Values(
-        CheckCase{"AllWell", [](FleetFixture&) {}, ActVerdict::kAct},
+        CheckCase{"AllAvailable", [](FleetFixture&) {}, ActVerdict::kAct},
         CheckCase{"OneFailure", [](FleetFixture& fleet) { fleet.FailNow(1); }, ActVerdict::kAct},
         CheckCase{"TwoFailures",
                   [](FleetFixture& fleet) {
@@ -430,7 +432,7 @@
                     fleet.observations.vms[fleet.VmAt(0)].listing = VmListing::kUnlisted;
                   },
                   ActVerdict::kWithdraw},
-        CheckCase{"StepIsNoMore", [](FleetFixture& fleet) { fleet.state.steps.clear(); },
+        CheckCase{"StepHasEnded", [](FleetFixture& fleet) { fleet.state.steps.clear(); },
                   ActVerdict::kWithdraw}),
     [](const auto& info) { return info.param.name; });
 
--- a/tests/maintenance/step_executor_test.cc
+++ b/tests/maintenance/step_executor_test.cc
@@ -50,8 +50,8 @@
   return DescribeAnswer{state, boot, last_step};
 }
 
-/// An input at a second of the run and the stage that must follow.
-struct Move {
+/// An input, its time in seconds, and the stage that must follow.
+struct Transition {
   int at = 0;
   StepInput input;
   ExecutorStage stage = ExecutorStage::kClaiming;
@@ -63,7 +63,7 @@
   std::string name;
   Start start = Start::kClaim;
   Step step;
-  std::vector<Move> moves;
+  std::vector<Transition> transitions;
 };
 
 StepExecutor Begin(const StageCase& stage_case) {
@@ -84,17 +84,17 @@
 TEST_P(StepExecutorStageTest, GoesThroughItsStages) {
   StepExecutor executor = Begin(GetParam());
   int number = 0;
-  for (const Move& move : GetParam().moves) {
-    executor.Handle(move.input, At(move.at));
-    EXPECT_EQ(executor.Stage(), move.stage)
-        << "move " << number << ", is " << ToString(executor.Stage());
+  for (const Transition& transition : GetParam().transitions) {
+    executor.Handle(transition.input, At(transition.at));
+    EXPECT_EQ(executor.Stage(), transition.stage)
+        << "transition " << number << ", is " << ToString(executor.Stage());
     ++number;
   }
 }
 
 using enum ExecutorStage;
 
-const std::vector<Move> kUpToActing = {
+const std::vector<Transition> kUpToActing = {
     {0, Tick{}, kClaiming},
     {1, Accepted(StepRecord::kClaim), kDraining},
     {2, DrainAnswer{3}, kDraining},
@@ -103,18 +103,18 @@
     {10, Accepted(StepRecord::kActing), kConfirmingDrain},
 };
 
-std::vector<Move> Then(std::vector<Move> first, const std::vector<Move>& second) {
+std::vector<Transition> Then(std::vector<Transition> first, const std::vector<Transition>& second) {
   first.insert(first.end(), second.begin(), second.end());
   return first;
 }
 
-/// One tick each second, the stage staying the same.
-std::vector<Move> Ticks(int from, int to, ExecutorStage stage) {
-  std::vector<Move> moves;
+/// One tick each second, all in the same stage.
+std::vector<Transition> Ticks(int from, int to, ExecutorStage stage) {
+  std::vector<Transition> transitions;
   for (int second = from; second <= to; ++second) {
-    moves.push_back(Move{second, Tick{}, stage});
+    transitions.push_back(Transition{second, Tick{}, stage});
   }
-  return moves;
+  return transitions;
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -137,7 +137,7 @@
                                                  {12, Accepted(StepRecord::kDone), kFinished}})}),
     [](const auto& info) { return info.param.name; });
 
-// A claim that lost against another one is read back as rejected. Going on with it would drain a VM
+// A claim that conflicts with an earlier one is read back as rejected. Continuing would drain a VM
 // that another step holds.
 INSTANTIATE_TEST_SUITE_P(
     Claims, StepExecutorStageTest,
@@ -149,7 +149,8 @@
                               Start::kClaim,
                               MakeStep(StepAction::kReboot),
                               {{1, FoldedStep{}, kClaiming}, {60, Tick{}, kClaiming}}},
-                    StageCase{"UnreadClaimIsGivenUp", Start::kClaim, MakeStep(StepAction::kReboot),
+                    StageCase{"UnreadClaimIsAbandoned", Start::kClaim,
+                              MakeStep(StepAction::kReboot),
                               Then(Ticks(0, 60, kClaiming), {{61, Tick{}, kFinished}})},
                     StageCase{"ClaimSeenInSnapshot",
                               Start::kClaim,
@@ -157,8 +158,8 @@
                               {{1, FoldedStep{HeldBy(kSelf, StepPhase::kDraining)}, kDraining}}}),
     [](const auto& info) { return info.param.name; });
 
-// A task runs longer than the rules let a drain wait. The drain is given up, so that its caller
-// gets the answer; the VM goes back to work and comes again later.
+// A task runs longer than the drain timeout. The drain is abandoned so that the task can finish;
+// the VM accepts tasks again and its step is planned again later.
 INSTANTIATE_TEST_SUITE_P(
     Undoing, StepExecutorStageTest,
     testing::Values(StageCase{"LongTask",
@@ -188,7 +189,7 @@
                               {{0, Accepted(StepRecord::kClaim), kDraining},
                                {5, DrainAnswer{0}, kChecking},
                                {6, FinalCheckAnswer{ActVerdict::kWithdraw}, kUndoing}}},
-                    StageCase{"FoldRefusesToAct",
+                    StageCase{"FoldRejectsActing",
                               Start::kClaim,
                               MakeStep(StepAction::kReboot),
                               {{0, Accepted(StepRecord::kClaim), kDraining},
@@ -205,8 +206,8 @@
                                {7, WithdrawalRequested{}, kEnteringAct}}}),
     [](const auto& info) { return info.param.name; });
 
-// The executor dies at some point of a step and another entry takes it over, or comes back without
-// its memory. A user would notice a VM that stays drained for good, or is rebooted a second time.
+// The executor crashes during a step, and another entry takes the step over or the executor resumes
+// it after a restart. The VM must neither stay drained forever nor be rebooted a second time.
 INSTANTIATE_TEST_SUITE_P(
     TakingOver, StepExecutorStageTest,
     testing::Values(StageCase{"WhileDraining",
@@ -247,8 +248,8 @@
                               {{0, Tick{}, kConfirmingDrain}, {1, DrainAnswer{0}, kUndraining}}}),
     [](const auto& info) { return info.param.name; });
 
-// An executor is paused; meanwhile its step is taken over and ended. When it wakes up it must not
-// touch the VM any more, which by then may be held by the next step.
+// An executor is paused while its step is taken over and ended. After the pause it must no longer
+// act on the VM, which the next step may hold by then.
 INSTANTIATE_TEST_SUITE_P(
     LosingTheStep, StepExecutorStageTest,
     testing::Values(
@@ -267,9 +268,9 @@
                                      {11, Rejected(StepRecord::kDone), kFinished}})}),
     [](const auto& info) { return info.param.name; });
 
-// The executor's process stops, or is cut off, for a quarter of an hour in the middle of an act,
-// and all its timeouts have run out when it goes on. Taking that for the VM's silence would reboot
-// a VM unasked, or mark one as failed that came back long ago and reboot it a second time.
+// The executor's process is paused or cut off for a quarter of an hour during an act, and all its
+// timeouts have expired when it continues. If it took that for an unresponsive VM, it would reboot
+// a VM that may run tasks, or mark a VM as failed that came back long ago and reboot it again.
 INSTANTIATE_TEST_SUITE_P(
     Paused, StepExecutorStageTest,
     testing::Values(StageCase{"BeforeTheSecondDrain", Start::kClaim, MakeStep(StepAction::kReboot),
@@ -286,19 +287,19 @@
                                                  {901, UndrainAnswer{}, kRecordingDone}})}),
     [](const auto& info) { return info.param.name; });
 
-// The VM goes wrong while the step acts: its endpoint lets a task in after the first drain, it dies
-// before the reboot, or it does not come back.
+// The VM misbehaves while the step acts: its endpoint accepts a task after the first drain, it
+// fails before the reboot, or it does not come back.
 INSTANTIATE_TEST_SUITE_P(
-    TroubleWhileActing, StepExecutorStageTest,
+    FailureWhileActing, StepExecutorStageTest,
     testing::Values(
         StageCase{
             "TaskAfterTheFirstDrain", Start::kClaim, MakeStep(StepAction::kReboot),
             Then(Then(kUpToActing, {{11, DrainAnswer{1}, kConfirmingDrain}}),
                  Then(Ticks(12, 500, kConfirmingDrain), {{501, DrainAnswer{0}, kRebooting}}))},
         StageCase{
-            "DiesBeforeTheReboot", Start::kClaim, MakeStep(StepAction::kReboot),
+            "FailsBeforeTheReboot", Start::kClaim, MakeStep(StepAction::kReboot),
             Then(Then(kUpToActing, Ticks(11, 130, kConfirmingDrain)), {{131, Tick{}, kRebooting}})},
-        StageCase{"StillUpAfterTheRebootWasAsked", Start::kClaim, MakeStep(StepAction::kReboot),
+        StageCase{"StillUpAfterTheRebootRequest", Start::kClaim, MakeStep(StepAction::kReboot),
                   Then(kUpToActing, {{10, DrainAnswer{0}, kRebooting},
                                      {10, Described(7, StepId{}), kRebooting},
                                      {11, RebootAnswer{}, kAwaitingBoot},
@@ -316,8 +317,8 @@
                         {312, Described(1, kStep, PlatformVmState::kRebooting), kRecordingDone}})}),
     [](const auto& info) { return info.param.name; });
 
-// The record says that the VM failed, so that it is not counted as maintained and the wave can see
-// the harm that it does.
+// The record reports the VM as failed, so that it doesn't count as maintained and the wave can stop
+// after repeated failures.
 TEST(StepExecutorTest, VmThatDoesNotComeBackIsRecordedAsFailed) {
   StepExecutor executor =
       StepExecutor::Resume(MakeStep(StepAction::kReboot, StepPhase::kActing), {}, At(0));
@@ -327,8 +328,8 @@
   EXPECT_EQ(outputs, std::vector<StepOutput>{expected});
 }
 
-// An entry that is cut off from the log never reads its claim back. It repeats the record at a
-// slow pace, gives up after a while, and touches neither endpoint nor platform.
+// An entry that is cut off from the log never reads its claim back. It repeats the record at a low
+// rate, abandons it after a timeout, and calls neither endpoint nor platform.
 TEST(StepExecutorTest, WithoutReadBackNothingButTheClaimIsSent) {
   StepExecutor executor = StepExecutor::Claim(MakeStep(StepAction::kReboot), {}, At(0));
   const std::vector<StepOutput> claim{AppendRecord{StepRecord::kClaim}};
@@ -344,15 +345,15 @@
   EXPECT_TRUE(executor.IsFinished());
 }
 
-// Answers may come twice or late. A repeated one must not push the step past a stage.
+// Answers may arrive twice or late. A repeated answer must not advance the step past a stage.
 TEST(StepExecutorTest, RepeatedAnswersChangeNothing) {
   StepExecutor executor = StepExecutor::Claim(MakeStep(StepAction::kReboot), {}, At(0));
-  for (const Move& move : kUpToActing) {
-    executor.Handle(move.input, At(move.at));
+  for (const Transition& transition : kUpToActing) {
+    executor.Handle(transition.input, At(transition.at));
     const ExecutorStage stage = executor.Stage();
-    const bool is_drain = std::holds_alternative<DrainAnswer>(move.input);
+    const bool is_drain = std::holds_alternative<DrainAnswer>(transition.input);
     if (!is_drain) {
-      EXPECT_TRUE(executor.Handle(move.input, At(move.at)).empty());
+      EXPECT_TRUE(executor.Handle(transition.input, At(transition.at)).empty());
     }
     EXPECT_EQ(executor.Stage(), stage);
   }
