--- a/include/chervilspar/load_balancing/balancer.h
+++ b/include/chervilspar/load_balancing/balancer.h
@@ -35,7 +35,7 @@
 
 /// Whether there is more to do than slots.
 enum class FleetLoad {
-  kHasRoom,
+  kHasFreeCapacity,
   kFull,
   /// As full, and another entry waits for slots that are being cleared for urgent work.
   kClearing,
@@ -68,9 +68,9 @@
                Duration measured, Duration expected, TimePoint now, Random& random);
   /// Starts no normal work of this entry at the endpoint until then, so that a slot cleared for
   /// urgent work is not filled again before that arrives.
-  void HoldForUrgent(const VmId& endpoint, TimePoint until, TimePoint now);
+  void ReserveForUrgent(const VmId& endpoint, TimePoint until, TimePoint now);
   /// Looks for endpoints that are much slower than the others or don't answer; call every 100 ms.
-  void Review(TimePoint now, Random& random);
+  void EjectOutliers(TimePoint now, Random& random);
 
   /// Slots at endpoints in use, for dividing among teams and entries.
   double UsableSlots() const { return this->usable_slots; }
@@ -81,22 +81,22 @@
 
  private:
   void CountUsable();
-  bool IsInSplit(std::uint32_t index) const;
+  bool IsUsable(std::uint32_t index) const;
   std::optional<std::uint32_t> DueProbe(const admission::Ticket& ticket, TimePoint now) const;
-  std::size_t MostEjected() const;
+  std::size_t MaxEjected() const;
   bool IsMuchSlower(std::uint32_t index, double median) const;
   double MedianSlowness() const;
   void EjectIfAllowed(std::uint32_t index, TimePoint now, Random& random);
   void EndProbe(std::uint32_t index, Evidence evidence, TimePoint now, Random& random);
-  Evidence Judge(const admission::Ticket& ticket, Outcome outcome, Duration measured,
-                 Duration expected, TimePoint now);
-  void ReviewOverdue(TimePoint now, Random& random);
+  Evidence ClassifyOutcome(const admission::Ticket& ticket, Outcome outcome, Duration measured,
+                           Duration expected, TimePoint now);
+  void EjectUnresponsive(TimePoint now, Random& random);
   /// Call around each change of an endpoint's health.
-  void UnfileProbe(std::uint32_t index);
-  void FileProbe(std::uint32_t index);
+  void UnscheduleProbe(std::uint32_t index);
+  void ScheduleProbe(std::uint32_t index);
   void OnFull(std::uint32_t index, TimePoint now);
   void UpdateCredit(TimePoint now);
-  PartUse PartUseNow() const;
+  PartUse CurrentPartUse() const;
 
   ZoneId zone;
   BalancerOptions options;
@@ -114,7 +114,7 @@
   std::unordered_map<TeamId, double> failure_rate_of;
   /// This entry's part of all slots, and how much slot time it is behind (or ahead, if negative).
   double part = 0.0;
-  FleetLoad fleet = FleetLoad::kHasRoom;
+  FleetLoad fleet = FleetLoad::kHasFreeCapacity;
   double credit = 0.0;
   TimePoint credit_at;
   std::size_t in_flight = 0;
--- a/include/chervilspar/load_balancing/balancer_options.h
+++ b/include/chervilspar/load_balancing/balancer_options.h
@@ -34,18 +34,18 @@
   double slow_factor = 4.0;
   /// Most endpoints ejected at once, as a part of the list. Ejection must never empty a pool: when
   /// more look bad, the cause is elsewhere.
-  double most_ejected = 0.34;
+  double max_ejected_fraction = 0.34;
   /// First wait before an ejected endpoint is probed; doubles with each failed probe.
-  Duration first_probe_after = std::chrono::seconds(2);
-  Duration longest_probe_after = std::chrono::seconds(60);
+  Duration initial_probe_delay = std::chrono::seconds(2);
+  Duration max_probe_delay = std::chrono::seconds(60);
   /// A return is forgiven after this long; an ejection before that waits longer than the last.
-  Duration forgive_after = std::chrono::seconds(30);
+  Duration backoff_reset_after = std::chrono::seconds(30);
   /// How long an endpoint that said "full" is left alone: at first, doubling up to the longest
   /// while it repeats. A slot of this entry's own is asked for sooner than one that is another's,
   /// too, which is often full and at once paused for longest. Tasks take tens of milliseconds, so
   /// asking more often finds no more slots.
-  Duration first_full_pause = std::chrono::milliseconds(4);
-  Duration longest_full_pause = std::chrono::milliseconds(64);
+  Duration initial_full_pause = std::chrono::milliseconds(4);
+  Duration max_full_pause = std::chrono::milliseconds(64);
 
   friend bool operator==(const BalancerOptions&, const BalancerOptions&) = default;
 };
--- a/include/chervilspar/load_balancing/endpoint_health.h
+++ b/include/chervilspar/load_balancing/endpoint_health.h
@@ -40,8 +40,8 @@
   TimePoint ProbeAt() const { return this->probe_at; }
 
   /// Takes the endpoint out until a probe; the wait doubles when the last return was not long ago.
-  /// `spread` in [0, 1) is for jitter, so that entries don't probe together.
-  void Eject(TimePoint now, const BalancerOptions& options, double spread);
+  /// `jitter_unit` in [0, 1) is for jitter, so that entries don't probe together.
+  void Eject(TimePoint now, const BalancerOptions& options, double jitter_unit);
   void StartProbe();
   /// The probe says nothing; another is due at once.
   void AbandonProbe(TimePoint now);
@@ -60,7 +60,7 @@
   std::uint32_t good_probes = 0;
   std::uint32_t good_since_return = 0;
   bool was_ejected = false;
-  Duration wait = Duration::zero();
+  Duration probe_delay = Duration::zero();
   TimePoint probe_at;
   TimePoint returned_at;
 };
--- a/src/dispatch/division.cc
+++ b/src/dispatch/division.cc
@@ -130,7 +130,7 @@
     }
   }
   const bool is_full = this->division.demand >= slots * kFullAt;
-  return is_full ? load_balancing::FleetLoad::kFull : load_balancing::FleetLoad::kHasRoom;
+  return is_full ? load_balancing::FleetLoad::kFull : load_balancing::FleetLoad::kHasFreeCapacity;
 }
 
 void ServiceShard::State::SetIdleWeight(const scheduling::TeamShare& team) {
--- a/src/dispatch/preemption.cc
+++ b/src/dispatch/preemption.cc
@@ -90,7 +90,7 @@
         now - ticket.preempted_at >= shard.options.scheduling.checkpoint_time) {
       ticket.is_stopped = true;
       actions.push_back({id, ticket.endpoint, scheduling::PreemptKind::kStop});
-      shard.balancer.HoldForUrgent(ticket.endpoint, now + kHoldAfterStop, now);
+      shard.balancer.ReserveForUrgent(ticket.endpoint, now + kHoldAfterStop, now);
     }
   }
   if (asked >= wanted) {
--- a/src/dispatch/service_shard.cc
+++ b/src/dispatch/service_shard.cc
@@ -210,7 +210,7 @@
   if (now - this->reviewed_at >= kReviewPeriod) {
     this->reviewed_at = now;
     this->queue.ChargeOverdue(now);
-    this->balancer.Review(now, random);
+    this->balancer.EjectOutliers(now, random);
   }
 }
 
--- a/src/load_balancing/balancer.cc
+++ b/src/load_balancing/balancer.cc
@@ -18,15 +18,15 @@
 constexpr Duration kProbeByAnyAfter = std::chrono::seconds(10);
 /// Due probes looked at for one request; more are left to the next one, so that a choice stays
 /// cheap when a third of a large pool is out.
-constexpr int kMostProbesLookedAt = 8;
+constexpr int kMaxProbesExamined = 8;
 /// How long a draining endpoint is left alone; the configuration takes it out within seconds.
 constexpr Duration kDrainingPause = std::chrono::seconds(1);
 /// Slot seconds that an entry may be behind or ahead of its part; more would let an entry that had
 /// nothing to do take more than its part for long afterwards.
-constexpr double kMostCredit = 2.0;
+constexpr double kMaxCreditSlotSeconds = 2.0;
 /// Slot seconds behind its part at which an entry looks for free slots that are not its own. The
 /// few milliseconds between the end of a task and the start of the next don't add up to that.
-constexpr double kCreditToSeek = 0.5;
+constexpr double kMinCreditToTryOpenSlotSeconds = 0.5;
 constexpr double kMicrosecondsPerSecond = 1e6;
 
 }  // namespace
@@ -48,13 +48,13 @@
     const EndpointState& state = this->table->At(index);
     if (state.is_listed && state.health.State() != HealthState::kHealthy) {
       this->ejected.push_back(index);
-      this->FileProbe(index);
+      this->ScheduleProbe(index);
     }
   }
   this->CountUsable();
 }
 
-bool Balancer::IsInSplit(std::uint32_t index) const {
+bool Balancer::IsUsable(std::uint32_t index) const {
   const EndpointState& state = this->table->At(index);
   return state.is_listed && state.health.State() == HealthState::kHealthy &&
          std::size_t{2} * this->ejecting_peers[index] <= this->peer_count;
@@ -68,7 +68,7 @@
   std::vector<Endpoint> usable;
   std::vector<double> parts(this->table->Count(), 0.0);
   for (std::uint32_t index = 0; index < this->table->Count(); ++index) {
-    if (this->IsInSplit(index)) {
+    if (this->IsUsable(index)) {
       indexes.push_back(index);
       usable.push_back(this->table->At(index).endpoint);
     }
@@ -82,7 +82,7 @@
   for (std::uint32_t index = 0; index < this->table->Count(); ++index) {
     if (this->table->At(index).split != parts[index]) {
       this->table->Change(index).split = parts[index];
-      this->table->Refile(index, now);
+      this->table->Reindex(index, now);
     }
   }
 }
@@ -90,12 +90,12 @@
 void Balancer::SetPeers(const std::vector<const scheduling::ShardReport*>& reports, TimePoint now) {
   this->peer_count = reports.size();
   this->ejecting_peers.assign(this->table->Count(), 0);
-  std::vector<std::uint32_t> foreign(this->table->Count(), 0);
+  std::vector<std::uint32_t> peer_tasks(this->table->Count(), 0);
   for (const scheduling::ShardReport* report : reports) {
     for (const scheduling::EndpointLoad& load : report->endpoints) {
       const auto index = this->table->Find(load.endpoint);
       if (index) {
-        foreign[*index] += load.in_flight;
+        peer_tasks[*index] += load.in_flight;
       }
     }
     for (const VmId& endpoint : report->ejected) {
@@ -106,9 +106,9 @@
     }
   }
   for (std::uint32_t index = 0; index < this->table->Count(); ++index) {
-    if (this->table->At(index).foreign != foreign[index]) {
-      this->table->Change(index).foreign = foreign[index];
-      this->table->Refile(index, now);
+    if (this->table->At(index).peer_tasks != peer_tasks[index]) {
+      this->table->Change(index).peer_tasks = peer_tasks[index];
+      this->table->Reindex(index, now);
     }
   }
   this->CountUsable();
@@ -119,21 +119,22 @@
       static_cast<double>((now - this->credit_at).count()) / kMicrosecondsPerSecond;
   this->credit_at = now;
   this->credit += (this->part - static_cast<double>(this->in_flight)) * seconds;
-  this->credit = std::clamp(this->credit, -kMostCredit, kMostCredit);
+  this->credit = std::clamp(this->credit, -kMaxCreditSlotSeconds, kMaxCreditSlotSeconds);
 }
 
-PartUse Balancer::PartUseNow() const {
+PartUse Balancer::CurrentPartUse() const {
   const auto held = static_cast<double>(this->in_flight);
   if (held + 1.0 <= this->part) {
     // While a slot is cleared for urgent work of another entry, whoever seeks would find it first.
-    const bool may_seek = this->fleet != FleetLoad::kClearing && this->credit >= kCreditToSeek;
-    return may_seek ? PartUse::kBehind : PartUse::kBelow;
+    const bool may_try_open =
+        this->fleet != FleetLoad::kClearing && this->credit >= kMinCreditToTryOpenSlotSeconds;
+    return may_try_open ? PartUse::kBehind : PartUse::kBelow;
   }
   const bool is_behind = this->credit > 0.0;
   if (held < this->part && is_behind) {
     return PartUse::kDue;
   }
-  return this->fleet == FleetLoad::kHasRoom ? PartUse::kMayBorrow : PartUse::kUsedUp;
+  return this->fleet == FleetLoad::kHasFreeCapacity ? PartUse::kMayBorrow : PartUse::kExhausted;
 }
 
 bool Balancer::HasFreeSlot(TimePoint now) {
@@ -142,7 +143,7 @@
   if (!this->probes.empty() && this->probes.begin()->first <= now) {
     return true;
   }
-  return this->policy->HasCandidate(*this->table, this->PartUseNow());
+  return this->policy->HasCandidate(*this->table, this->CurrentPartUse());
 }
 
 scheduling::Slot Balancer::Find(const admission::Ticket& ticket, TimePoint now, Random& random) {
@@ -150,11 +151,11 @@
   this->UpdateCredit(now);
   auto index = this->DueProbe(ticket, now);
   if (index) {
-    this->UnfileProbe(*index);
+    this->UnscheduleProbe(*index);
     this->table->Change(*index).health.StartProbe();
     return {scheduling::SlotAnswer::kFound, this->table->At(*index).endpoint.id};
   }
-  const PartUse part_use = this->PartUseNow();
+  const PartUse part_use = this->CurrentPartUse();
   index = this->policy->Choose(*this->table, ticket, part_use, random);
   if (!index && ticket.work_class == admission::WorkClass::kUrgent &&
       !this->table->open.IsEmpty()) {
@@ -177,9 +178,9 @@
   const Duration wait = ticket.idempotency == admission::Idempotency::kIdempotent
                             ? Duration::zero()
                             : kProbeByAnyAfter;
-  int looked_at = 0;
+  int examined = 0;
   for (const auto& [probe_at, index] : this->probes) {
-    if (probe_at + wait > now || looked_at++ >= kMostProbesLookedAt) {
+    if (probe_at + wait > now || examined++ >= kMaxProbesExamined) {
       break;
     }
     const EndpointState& state = this->table->At(index);
@@ -191,11 +192,11 @@
   return std::nullopt;
 }
 
-void Balancer::UnfileProbe(std::uint32_t index) {
+void Balancer::UnscheduleProbe(std::uint32_t index) {
   this->probes.erase({this->table->At(index).health.ProbeAt(), index});
 }
 
-void Balancer::FileProbe(std::uint32_t index) {
+void Balancer::ScheduleProbe(std::uint32_t index) {
   const EndpointHealth& health = this->table->At(index).health;
   if (health.State() == HealthState::kEjected) {
     this->probes.emplace(health.ProbeAt(), index);
@@ -209,21 +210,21 @@
   CHERVILSPAR_ASSERT(index);
   this->table->Change(*index).in_flight.push_back({ticket.id, now, overdue_at});
   ++this->in_flight;
-  this->table->Refile(*index, now);
+  this->table->Reindex(*index, now);
 }
 
 void Balancer::OnFull(std::uint32_t index, TimePoint now) {
   EndpointState& state = this->table->Change(index);
   const bool is_own_slot = state.Own() + 1.0 <= state.split;
-  if (!is_own_slot && this->fleet != FleetLoad::kHasRoom) {
-    state.pause = this->options.longest_full_pause;
+  if (!is_own_slot && this->fleet != FleetLoad::kHasFreeCapacity) {
+    state.pause = this->options.max_full_pause;
   } else if (state.pause == Duration::zero()) {
-    state.pause = this->options.first_full_pause;
+    state.pause = this->options.initial_full_pause;
   } else {
-    state.pause = std::min(state.pause * 2, this->options.longest_full_pause);
+    state.pause = std::min(state.pause * 2, this->options.max_full_pause);
   }
   const std::uint32_t others = state.endpoint.slots - std::min(state.Own(), state.endpoint.slots);
-  state.foreign = std::max(state.foreign, others);
+  state.peer_tasks = std::max(state.peer_tasks, others);
   this->table->PauseUntil(index, now + state.pause, now);
 }
 
@@ -245,7 +246,7 @@
     state.pause = Duration::zero();
     this->table->PauseUntil(index, now, now);
   }
-  const Evidence evidence = this->Judge(ticket, outcome, measured, expected, now);
+  const Evidence evidence = this->ClassifyOutcome(ticket, outcome, measured, expected, now);
   const bool has_run =
       outcome == Outcome::kCompleted || (outcome == Outcome::kLost && measured > expected);
   if (has_run) {
@@ -260,14 +261,14 @@
   } else if (state.health.FailuresInRow() >= this->options.failures_to_eject) {
     this->EjectIfAllowed(index, now, random);
   }
-  this->table->Refile(index, now);
+  this->table->Reindex(index, now);
 }
 
-void Balancer::HoldForUrgent(const VmId& endpoint, TimePoint until, TimePoint now) {
+void Balancer::ReserveForUrgent(const VmId& endpoint, TimePoint until, TimePoint now) {
   const auto index = this->table->Find(endpoint);
   if (index) {
-    this->table->Change(*index).held_until = until;
-    this->table->Refile(*index, now);
+    this->table->Change(*index).reserved_until = until;
+    this->table->Reindex(*index, now);
   }
 }
 
@@ -277,7 +278,7 @@
   for (std::uint32_t index = 0; index < this->table->Count(); ++index) {
     const EndpointState& state = this->table->At(index);
     this->listed += state.is_listed ? 1 : 0;
-    this->usable_slots += this->IsInSplit(index) ? state.endpoint.slots : 0.0;
+    this->usable_slots += this->IsUsable(index) ? state.endpoint.slots : 0.0;
   }
 }
 
--- a/src/load_balancing/balancer_health.cc
+++ b/src/load_balancing/balancer_health.cc
@@ -12,29 +12,29 @@
 namespace {
 
 /// Tasks at an endpoint before its speed is judged.
-constexpr std::uint32_t kSamplesToJudge = 5;
+constexpr std::uint32_t kMinSamples = 5;
 /// Tasks overdue at an endpoint, at least, and as a part of its tasks in flight, that speak
 /// against it.
-constexpr std::uint32_t kOverdueTasks = 2;
-constexpr double kOverduePart = 0.5;
+constexpr std::uint32_t kMinOverdueTasks = 2;
+constexpr double kMinOverdueFraction = 0.5;
 /// When this part of all tasks is overdue, the cause is not one endpoint.
-constexpr double kOverdueEverywhere = 0.25;
+constexpr double kMaxOverdueFractionElsewhere = 0.25;
 /// A task whose deadline passed before it had run this many times its expected time says more of
 /// the deadline than of the endpoint.
-constexpr int kLateFactor = 3;
+constexpr int kShortDeadlineFactor = 3;
 /// A team whose tasks fail more often than this fails by itself.
-constexpr double kTeamFails = 0.5;
-constexpr double kTeamSmoothing = 0.1;
+constexpr double kMaxTeamFailureRate = 0.5;
+constexpr double kTeamFailureRateSmoothing = 0.1;
 /// Bound on memory; teams that fail are few.
-constexpr std::size_t kMostTeamsTracked = 4096;
+constexpr std::size_t kMaxTrackedTeams = 4096;
 
 }  // namespace
 
-std::size_t Balancer::MostEjected() const {
+std::size_t Balancer::MaxEjected() const {
   if (this->listed < 2) {
     return 0;
   }
-  const double most = this->options.most_ejected * static_cast<double>(this->listed);
+  const double most = this->options.max_ejected_fraction * static_cast<double>(this->listed);
   return std::max<std::size_t>(1, static_cast<std::size_t>(most));
 }
 
@@ -42,38 +42,39 @@
   EndpointState& state = this->table->Change(index);
   const bool is_out = state.health.State() != HealthState::kHealthy;
   if (this->options.ejection == Ejection::kOff || is_out || !state.is_listed ||
-      this->ejected.size() >= this->MostEjected()) {
+      this->ejected.size() >= this->MaxEjected()) {
     return;
   }
   state.health.Eject(now, this->options, random.Unit());
   this->ejected.push_back(index);
-  this->FileProbe(index);
-  this->table->Refile(index, now);
+  this->ScheduleProbe(index);
+  this->table->Reindex(index, now);
 }
 
 void Balancer::EndProbe(std::uint32_t index, Evidence evidence, TimePoint now, Random& random) {
   EndpointHealth& health = this->table->Change(index).health;
   if (evidence == Evidence::kBad) {
     health.Eject(now, this->options, random.Unit());
-    this->FileProbe(index);
+    this->ScheduleProbe(index);
     return;
   }
   if (evidence == Evidence::kNone) {
     health.AbandonProbe(now);
-    this->FileProbe(index);
+    this->ScheduleProbe(index);
     return;
   }
   health.OnGoodProbe(now);
-  this->FileProbe(index);
+  this->ScheduleProbe(index);
   if (health.State() == HealthState::kHealthy) {
     std::erase(this->ejected, index);
   }
 }
 
-Evidence Balancer::Judge(const admission::Ticket& ticket, Outcome outcome, Duration measured,
-                         Duration expected, TimePoint now) {
-  const bool was_hasty = now >= ticket.deadline && measured < expected * kLateFactor;
-  if (outcome == Outcome::kLost && was_hasty) {
+Evidence Balancer::ClassifyOutcome(const admission::Ticket& ticket, Outcome outcome,
+                                   Duration measured, Duration expected, TimePoint now) {
+  const bool had_short_deadline =
+      now >= ticket.deadline && measured < expected * kShortDeadlineFactor;
+  if (outcome == Outcome::kLost && had_short_deadline) {
     return Evidence::kNone;
   }
   switch (outcome) {
@@ -90,23 +91,23 @@
     case Outcome::kLost:
       break;
   }
-  if (this->failure_rate_of.size() >= kMostTeamsTracked) {
+  if (this->failure_rate_of.size() >= kMaxTrackedTeams) {
     this->failure_rate_of.clear();
   }
   const bool is_good = outcome == Outcome::kCompleted;
   double& rate = this->failure_rate_of[ticket.team];
-  rate += kTeamSmoothing * ((is_good ? 0.0 : 1.0) - rate);
+  rate += kTeamFailureRateSmoothing * ((is_good ? 0.0 : 1.0) - rate);
   if (is_good) {
     return Evidence::kGood;
   }
-  return rate > kTeamFails ? Evidence::kNone : Evidence::kBad;
+  return rate > kMaxTeamFailureRate ? Evidence::kNone : Evidence::kBad;
 }
 
 double Balancer::MedianSlowness() const {
   std::vector<double> values;
   for (std::uint32_t index = 0; index < this->table->Count(); ++index) {
     const EndpointState& state = this->table->At(index);
-    if (state.is_listed && state.health.Samples() >= kSamplesToJudge) {
+    if (state.is_listed && state.health.Samples() >= kMinSamples) {
       values.push_back(state.health.Slowness());
     }
   }
@@ -122,21 +123,21 @@
 
 bool Balancer::IsMuchSlower(std::uint32_t index, double median) const {
   const EndpointHealth& health = this->table->At(index).health;
-  return health.Samples() >= kSamplesToJudge &&
+  return health.Samples() >= kMinSamples &&
          health.Slowness() - median > std::log(this->options.slow_factor);
 }
 
-void Balancer::Review(TimePoint now, Random& random) {
+void Balancer::EjectOutliers(TimePoint now, Random& random) {
   const double median = this->MedianSlowness();
   for (std::uint32_t index = 0; index < this->table->Count(); ++index) {
     if (this->IsMuchSlower(index, median)) {
       this->EjectIfAllowed(index, now, random);
     }
   }
-  this->ReviewOverdue(now, random);
+  this->EjectUnresponsive(now, random);
 }
 
-void Balancer::ReviewOverdue(TimePoint now, Random& random) {
+void Balancer::EjectUnresponsive(TimePoint now, Random& random) {
   std::vector<std::uint32_t> overdue(this->table->Count(), 0);
   std::size_t total = 0;
   for (std::uint32_t index = 0; index < this->table->Count(); ++index) {
@@ -149,9 +150,11 @@
     const auto own = static_cast<double>(this->table->At(index).Own());
     const std::size_t elsewhere = total - overdue[index];
     const double others = std::max(1.0, static_cast<double>(this->in_flight) - own);
-    const bool is_silent = overdue[index] >= kOverdueTasks && overdue[index] >= kOverduePart * own;
-    const bool is_everywhere = static_cast<double>(elsewhere) > kOverdueEverywhere * others;
-    if (is_silent && !is_everywhere) {
+    const bool is_unresponsive =
+        overdue[index] >= kMinOverdueTasks && overdue[index] >= kMinOverdueFraction * own;
+    const bool is_everywhere =
+        static_cast<double>(elsewhere) > kMaxOverdueFractionElsewhere * others;
+    if (is_unresponsive && !is_everywhere) {
       this->EjectIfAllowed(index, now, random);
     }
   }
--- a/src/load_balancing/endpoint_health.cc
+++ b/src/load_balancing/endpoint_health.cc
@@ -12,11 +12,11 @@
 /// With exponential run times the logarithm of one sample deviates by 1.3; averaged at this rate
 /// by 0.29, so that a healthy endpoint reaches the logarithm of 4 (1.39) once in 10^6 samples,
 /// while one that is 10 times slower gets there after 9.
-constexpr double kSmoothing = 0.1;
+constexpr double kSlownessSmoothing = 0.1;
 /// A single good answer may be luck.
 constexpr std::uint32_t kProbesToReturn = 2;
 /// Part of the wait that jitter adds.
-constexpr double kSpreadPart = 0.5;
+constexpr double kMaxJitterFraction = 0.5;
 
 }  // namespace
 
@@ -24,7 +24,7 @@
   const double ratio = static_cast<double>(std::max<Duration::rep>(measured.count(), 1)) /
                        static_cast<double>(std::max<Duration::rep>(expected.count(), 1));
   ++this->samples;
-  this->slowness += kSmoothing * (std::log(ratio) - this->slowness);
+  this->slowness += kSlownessSmoothing * (std::log(ratio) - this->slowness);
 }
 
 void EndpointHealth::OnEvidence(Evidence evidence) {
@@ -38,14 +38,15 @@
   }
 }
 
-void EndpointHealth::Eject(TimePoint now, const BalancerOptions& options, double spread) {
-  const bool is_repeat = this->was_ejected && (this->state != HealthState::kHealthy ||
-                                               now - this->returned_at < options.forgive_after);
-  this->wait =
-      is_repeat ? std::min(this->wait * 2, options.longest_probe_after) : options.first_probe_after;
-  const auto jitter =
-      static_cast<Duration::rep>(static_cast<double>(this->wait.count()) * kSpreadPart * spread);
-  this->probe_at = now + this->wait + Duration(jitter);
+void EndpointHealth::Eject(TimePoint now, const BalancerOptions& options, double jitter_unit) {
+  const bool is_repeat =
+      this->was_ejected && (this->state != HealthState::kHealthy ||
+                            now - this->returned_at < options.backoff_reset_after);
+  this->probe_delay = is_repeat ? std::min(this->probe_delay * 2, options.max_probe_delay)
+                                : options.initial_probe_delay;
+  const auto jitter = static_cast<Duration::rep>(static_cast<double>(this->probe_delay.count()) *
+                                                 kMaxJitterFraction * jitter_unit);
+  this->probe_at = now + this->probe_delay + Duration(jitter);
   this->state = HealthState::kEjected;
   this->was_ejected = true;
   this->good_probes = 0;
--- a/src/load_balancing/placement_policy.cc
+++ b/src/load_balancing/placement_policy.cc
@@ -9,11 +9,11 @@
 namespace {
 
 /// Random tries before a whole set is searched for a VM that is large enough.
-constexpr int kMostSamples = 4;
+constexpr int kMaxSamples = 4;
 
 /// In a full fleet, a single slot that looks free in a report is one whose owner is about to fill
 /// it again; this many at one endpoint are left by owners that have nothing to run.
-constexpr std::uint32_t kSpareWhenFull = 2;
+constexpr std::uint32_t kMinIdleSlotsWhenFull = 2;
 
 /// A random element that fits.
 std::optional<std::uint32_t> ChooseFit(const SlotTable& table, const IndexedSet& set,
@@ -21,7 +21,7 @@
   if (set.IsEmpty()) {
     return std::nullopt;
   }
-  for (int sample = 0; sample < kMostSamples; ++sample) {
+  for (int sample = 0; sample < kMaxSamples; ++sample) {
     const std::uint32_t index = set.Sample(random);
     if (table.Fits(index, requirement)) {
       return index;
@@ -54,7 +54,7 @@
 
   std::optional<std::uint32_t> Choose(const SlotTable& table, const admission::Ticket& ticket,
                                       PartUse part, Random& random) override {
-    const bool is_due = part != PartUse::kMayBorrow && part != PartUse::kUsedUp;
+    const bool is_due = part != PartUse::kMayBorrow && part != PartUse::kExhausted;
     if (is_due) {
       const auto own = this->ChooseOwn(table, ticket, random);
       if (own) {
@@ -64,29 +64,29 @@
     if (!this->lends) {
       return std::nullopt;
     }
-    const std::uint32_t spare = part == PartUse::kUsedUp ? kSpareWhenFull : 1;
+    const std::uint32_t min_idle_slots = part == PartUse::kExhausted ? kMinIdleSlotsWhenFull : 1;
     for (const IndexedSet* set : {&table.idle_local, &table.idle_remote}) {
       const auto idle = ChooseOfTwo(table, *set, ticket.requirement, random);
-      if (idle && table.At(*idle).IdleSlots() >= spare) {
+      if (idle && table.At(*idle).IdleSlots() >= min_idle_slots) {
         return idle;
       }
     }
-    const bool may_seek = part == PartUse::kBehind || part == PartUse::kMayBorrow;
-    return may_seek ? ChooseFit(table, table.open, ticket.requirement, random) : std::nullopt;
+    const bool may_try_open = part == PartUse::kBehind || part == PartUse::kMayBorrow;
+    return may_try_open ? ChooseFit(table, table.open, ticket.requirement, random) : std::nullopt;
   }
 
   bool HasCandidate(const SlotTable& table, PartUse part) const override {
     const bool has_idle = !table.idle_local.IsEmpty() || !table.idle_remote.IsEmpty();
-    if (part == PartUse::kUsedUp) {
+    if (part == PartUse::kExhausted) {
       return this->lends && has_idle;
     }
     if (part == PartUse::kMayBorrow) {
       return this->lends && !table.open.IsEmpty();
     }
     const bool has_own =
-        !table.own_local.IsEmpty() || !table.own_remote.IsEmpty() || !table.edge.IsEmpty();
-    const bool may_seek = part == PartUse::kBehind && !table.open.IsEmpty();
-    return has_own || (this->lends && (has_idle || may_seek));
+        !table.own_local.IsEmpty() || !table.own_remote.IsEmpty() || !table.own_fraction.IsEmpty();
+    const bool may_try_open = part == PartUse::kBehind && !table.open.IsEmpty();
+    return has_own || (this->lends && (has_idle || may_try_open));
   }
 
  private:
@@ -98,16 +98,16 @@
         return own;
       }
     }
-    return this->LargestEdge(table, ticket.requirement);
+    return this->LargestFraction(table, ticket.requirement);
   }
 
   /// An entry's part has two edges at most, in its own zone and two elsewhere. The neighbour
   /// prefers its larger fraction, too, so that they seldom want the same slot.
-  std::optional<std::uint32_t> LargestEdge(const SlotTable& table,
-                                           const admission::Requirement& requirement) const {
+  std::optional<std::uint32_t> LargestFraction(const SlotTable& table,
+                                               const admission::Requirement& requirement) const {
     std::optional<std::uint32_t> largest;
     double largest_part = 0.0;
-    for (const std::uint32_t index : table.edge.Items()) {
+    for (const std::uint32_t index : table.own_fraction.Items()) {
       const double part = table.At(index).split - table.At(index).Own();
       if (part > largest_part && table.Fits(index, requirement)) {
         largest = index;
--- a/src/load_balancing/placement_policy.h
+++ b/src/load_balancing/placement_policy.h
@@ -21,7 +21,7 @@
   /// It holds its part, and the fleet is not full.
   kMayBorrow,
   /// It holds its part, and the fleet is full.
-  kUsedUp,
+  kExhausted,
 };
 
 /// Chooses among the endpoints of a table.
--- a/src/load_balancing/slot_split.cc
+++ b/src/load_balancing/slot_split.cc
@@ -8,17 +8,17 @@
 namespace {
 
 /// A stretch on a line of slots.
-struct Stretch {
+struct Interval {
   double from = 0.0;
   double to = 0.0;
 };
 
 /// One zone's slots, and what its own entries want of them.
-struct ZoneLine {
+struct ZoneSlots {
   double slots = 0.0;
   double wanted = 0.0;
   /// Laid so far by entries of the zone.
-  double laid = 0.0;
+  double assigned = 0.0;
 
   double LocalRate() const { return this->wanted > this->slots ? this->slots / this->wanted : 1.0; }
   double LeftOver() const { return std::max(0.0, this->slots - this->wanted); }
@@ -26,30 +26,31 @@
 
 /// What belongs to `self`: a stretch of its own zone, and one of the left-over slots of all zones
 /// in a row.
-struct OwnStretches {
-  Stretch local;
-  Stretch left_over;
+struct OwnIntervals {
+  Interval local;
+  Interval left_over;
 };
 
-OwnStretches LayEntries(std::map<ZoneId, ZoneLine>& zones,
-                        const std::vector<scheduling::EntryPart>& entries, const EntryId& self) {
-  OwnStretches own;
-  double laid_outside = 0.0;
+OwnIntervals AssignIntervals(std::map<ZoneId, ZoneSlots>& zones,
+                             const std::vector<scheduling::EntryPart>& entries,
+                             const EntryId& self) {
+  OwnIntervals own;
+  double assigned_outside = 0.0;
   for (const scheduling::EntryPart& entry : entries) {
-    ZoneLine& zone = zones[entry.zone];
+    ZoneSlots& zone = zones[entry.zone];
     const double local = entry.slots * zone.LocalRate();
     const double outside = entry.slots - local;
     if (entry.entry == self) {
-      own.local = {zone.laid, zone.laid + local};
-      own.left_over = {laid_outside, laid_outside + outside};
+      own.local = {zone.assigned, zone.assigned + local};
+      own.left_over = {assigned_outside, assigned_outside + outside};
     }
-    zone.laid += local;
-    laid_outside += outside;
+    zone.assigned += local;
+    assigned_outside += outside;
   }
   return own;
 }
 
-double Overlap(const Stretch& left, const Stretch& right) {
+double Overlap(const Interval& left, const Interval& right) {
   return std::max(0.0, std::min(left.to, right.to) - std::max(left.from, right.from));
 }
 
@@ -58,7 +59,7 @@
 std::vector<double> SplitSlots(const std::vector<Endpoint>& endpoints,
                                const std::vector<scheduling::EntryPart>& entries,
                                const EntryId& self) {
-  std::map<ZoneId, ZoneLine> zones;
+  std::map<ZoneId, ZoneSlots> zones;
   for (const Endpoint& endpoint : endpoints) {
     zones[endpoint.zone].slots += endpoint.slots;
   }
@@ -69,7 +70,7 @@
       own_zone = entry.zone;
     }
   }
-  const OwnStretches own = LayEntries(zones, entries, self);
+  const OwnIntervals own = AssignIntervals(zones, entries, self);
 
   std::map<ZoneId, double> left_over_start;
   double start = 0.0;
@@ -81,15 +82,15 @@
   std::vector<double> split;
   split.reserve(endpoints.size());
   for (const Endpoint& endpoint : endpoints) {
-    const ZoneLine& zone = zones[endpoint.zone];
+    const ZoneSlots& zone = zones[endpoint.zone];
     double& from = next_slot[endpoint.zone];
-    const Stretch slots{from, from + endpoint.slots};
+    const Interval slots{from, from + endpoint.slots};
     from = slots.to;
     double part = endpoint.zone == own_zone ? Overlap(slots, own.local) : 0.0;
     // Slots of a zone past `wanted` are left over; seen from the line of all left-over slots, they
     // begin at `shift`.
     const double shift = left_over_start[endpoint.zone] - zone.wanted;
-    const Stretch left_over{std::max(slots.from, zone.wanted) + shift, slots.to + shift};
+    const Interval left_over{std::max(slots.from, zone.wanted) + shift, slots.to + shift};
     part += left_over.to > left_over.from ? Overlap(left_over, own.left_over) : 0.0;
     split.push_back(part);
   }
--- a/src/load_balancing/slot_table.cc
+++ b/src/load_balancing/slot_table.cc
@@ -7,7 +7,7 @@
 namespace {
 
 /// Parts of slots smaller than this are rounding errors of the split.
-constexpr double kSmallestPart = 1e-6;
+constexpr double kSplitTolerance = 1e-6;
 
 bool IsEnough(const admission::Requirement& shape, const admission::Requirement& requirement) {
   return shape.cores >= requirement.cores && shape.memory_mb >= requirement.memory_mb &&
@@ -17,12 +17,12 @@
 }  // namespace
 
 std::uint32_t EndpointState::IdleSlots() const {
-  const std::uint32_t used = this->Own() + this->foreign;
+  const std::uint32_t used = this->Own() + this->peer_tasks;
   return used < this->endpoint.slots ? this->endpoint.slots - used : 0;
 }
 
 double EndpointState::Load() const {
-  return static_cast<double>(this->Own() + this->foreign) / this->endpoint.slots;
+  return static_cast<double>(this->Own() + this->peer_tasks) / this->endpoint.slots;
 }
 
 void SlotTable::SetEndpoints(const std::vector<Endpoint>& endpoints, const ZoneId& zone,
@@ -59,8 +59,8 @@
         std::min(this->smallest.accelerators, endpoint.shape.accelerators);
   }
   this->paused.clear();
-  for (IndexedSet* set : {&this->own_local, &this->own_remote, &this->edge, &this->idle_local,
-                          &this->idle_remote, &this->open}) {
+  for (IndexedSet* set : {&this->own_local, &this->own_remote, &this->own_fraction,
+                          &this->idle_local, &this->idle_remote, &this->open}) {
     set->Resize(this->states.size());
   }
   for (std::uint32_t index = 0; index < this->states.size(); ++index) {
@@ -79,13 +79,13 @@
 void SlotTable::EraseFromSets(std::uint32_t index) {
   this->own_local.Erase(index);
   this->own_remote.Erase(index);
-  this->edge.Erase(index);
+  this->own_fraction.Erase(index);
   this->idle_local.Erase(index);
   this->idle_remote.Erase(index);
   this->open.Erase(index);
 }
 
-void SlotTable::Refile(std::uint32_t index, TimePoint now) {
+void SlotTable::Reindex(std::uint32_t index, TimePoint now) {
   this->EraseFromSets(index);
   const EndpointState& state = this->states[index];
   const std::uint32_t own = state.Own();
@@ -96,13 +96,13 @@
     return;
   }
   this->open.Insert(index);
-  if (state.held_until > now) {
+  if (state.reserved_until > now) {
     return;
   }
-  if (own + 1.0 <= state.split + kSmallestPart) {
+  if (own + 1.0 <= state.split + kSplitTolerance) {
     (state.is_local ? this->own_local : this->own_remote).Insert(index);
-  } else if (own + kSmallestPart < state.split) {
-    this->edge.Insert(index);
+  } else if (own + kSplitTolerance < state.split) {
+    this->own_fraction.Insert(index);
   }
   if (state.IdleSlots() > 0) {
     (state.is_local ? this->idle_local : this->idle_remote).Insert(index);
@@ -113,7 +113,7 @@
   while (!this->paused.empty() && this->paused.begin()->first <= now) {
     const std::uint32_t index = this->paused.begin()->second;
     this->paused.erase(this->paused.begin());
-    this->Refile(index, now);
+    this->Reindex(index, now);
   }
 }
 
@@ -124,7 +124,7 @@
   if (until > now) {
     this->paused.emplace(until, index);
   }
-  this->Refile(index, now);
+  this->Reindex(index, now);
 }
 
 bool SlotTable::Fits(std::uint32_t index, const admission::Requirement& requirement) const {
--- a/src/load_balancing/slot_table.h
+++ b/src/load_balancing/slot_table.h
@@ -34,14 +34,14 @@
   bool is_listed = true;
   std::vector<SentTask> in_flight;
   /// Tasks of other entries, by their reports.
-  std::uint32_t foreign = 0;
+  std::uint32_t peer_tasks = 0;
   /// Slots that belong to this entry.
   double split = 0.0;
   EndpointHealth health;
   TimePoint paused_until;
   Duration pause = Duration::zero();
   /// Kept for urgent work until then.
-  TimePoint held_until;
+  TimePoint reserved_until;
 
   std::uint32_t Own() const { return static_cast<std::uint32_t>(this->in_flight.size()); }
   /// Slots that nobody uses, by all that is known.
@@ -58,10 +58,10 @@
 
   std::size_t Count() const { return this->states.size(); }
   const EndpointState& At(std::uint32_t index) const { return this->states[index]; }
-  /// Call `Refile` after changing a state.
+  /// Call `Reindex` after changing a state.
   EndpointState& Change(std::uint32_t index) { return this->states[index]; }
   std::optional<std::uint32_t> Find(const VmId& endpoint) const;
-  void Refile(std::uint32_t index, TimePoint now);
+  void Reindex(std::uint32_t index, TimePoint now);
   /// Files the endpoints whose pause has ended.
   void Resume(TimePoint now);
   void PauseUntil(std::uint32_t index, TimePoint until, TimePoint now);
@@ -74,7 +74,7 @@
   IndexedSet own_local;
   IndexedSet own_remote;
   /// The fraction of a slot at the edge of this entry's part.
-  IndexedSet edge;
+  IndexedSet own_fraction;
   /// By the reports, a slot is free that nobody uses; own zone, other zones.
   IndexedSet idle_local;
   IndexedSet idle_remote;
--- a/tests/load_balancing/balancer_test.cc
+++ b/tests/load_balancing/balancer_test.cc
@@ -17,12 +17,12 @@
 using std::chrono::seconds;
 
 constexpr TimePoint kStart = TimePoint(seconds(100));
-constexpr Duration kUsual = milliseconds(100);
+constexpr Duration kExpectedRunTime = milliseconds(100);
 
 /// A balancer of one entry that is alone, with helpers to run single tasks.
-class Bench {
+class BalancerHarness {
  public:
-  explicit Bench(std::size_t endpoints, BalancerOptions options = {})
+  explicit BalancerHarness(std::size_t endpoints, BalancerOptions options = {})
       : balancer(ZoneId{"a"}, options), random(1) {
     std::vector<Endpoint> list;
     for (std::size_t index = 0; index < endpoints; ++index) {
@@ -35,7 +35,7 @@
   void Split() {
     const EntryId self{"e"};
     this->balancer.SetParts({{self, ZoneId{"a"}, this->balancer.UsableSlots()}}, self,
-                            FleetLoad::kHasRoom, this->now);
+                            FleetLoad::kHasFreeCapacity, this->now);
   }
 
   Ticket NextTicket() {
@@ -51,12 +51,13 @@
     if (slot.answer != SlotAnswer::kFound) {
       return std::nullopt;
     }
-    this->balancer.OnSent(slot.endpoint, ticket, this->now + kUsual * 5, this->now);
+    this->balancer.OnSent(slot.endpoint, ticket, this->now + kExpectedRunTime * 5, this->now);
     return slot.endpoint;
   }
 
   void End(const Ticket& ticket, const VmId& endpoint, Outcome outcome, Duration measured) {
-    this->balancer.OnEnded(endpoint, ticket, outcome, measured, kUsual, this->now, this->random);
+    this->balancer.OnEnded(endpoint, ticket, outcome, measured, kExpectedRunTime, this->now,
+                           this->random);
   }
 
   /// Runs tasks one after the other; `bad` ones end by `outcome` after `measured`. Returns how many
@@ -73,8 +74,8 @@
       const bool is_bad = bad.contains(*endpoint);
       sent_to_bad += is_bad ? 1 : 0;
       this->End(ticket, *endpoint, is_bad ? outcome : Outcome::kCompleted,
-                is_bad ? measured : kUsual);
-      this->balancer.Review(this->now, this->random);
+                is_bad ? measured : kExpectedRunTime);
+      this->balancer.EjectOutliers(this->now, this->random);
       this->Split();
     }
     return sent_to_bad;
@@ -97,12 +98,13 @@
 // One endpoint of ten goes bad: it fails everything in a millisecond, loses everything, or is ten
 // times slower. Free again at once, a failing one would draw all the work of an entry that looks
 // for the least loaded endpoint; callers would see a tenth or more of their requests fail.
-TEST_P(BadEndpointTest, GetsHardlyAnyWork) {
+TEST_P(BadEndpointTest, ReceivesFewTasks) {
   for (const auto ejection : {Ejection::kOn, Ejection::kOff}) {
     BalancerOptions options;
     options.ejection = ejection;
-    Bench bench(10, options);
-    const int sent = bench.RunTasks(3000, {VmId{"vm-3"}}, GetParam().outcome, GetParam().measured);
+    BalancerHarness harness(10, options);
+    const int sent =
+        harness.RunTasks(3000, {VmId{"vm-3"}}, GetParam().outcome, GetParam().measured);
     EXPECT_EQ(sent < 30, ejection == Ejection::kOn) << sent;
   }
 }
@@ -118,21 +120,21 @@
 // An endpoint takes tasks and answers none of them. Nothing fails, so only the age of its tasks
 // tells; without that, all its slots fill and it holds its part of the requests to their deadlines.
 TEST(BalancerTest, EjectsAnEndpointThatNeverAnswers) {
-  Bench bench(10);
-  const VmId silent{"vm-3"};
+  BalancerHarness harness(10);
+  const VmId unresponsive{"vm-3"};
   int stuck = 0;
   for (int task = 0; task < 2000; ++task) {
-    const Ticket ticket = bench.NextTicket();
-    const auto endpoint = bench.Send(ticket);
-    bench.now += milliseconds(2);
-    if (endpoint == silent) {
+    const Ticket ticket = harness.NextTicket();
+    const auto endpoint = harness.Send(ticket);
+    harness.now += milliseconds(2);
+    if (endpoint == unresponsive) {
       ++stuck;
     } else if (endpoint) {
-      bench.End(ticket, *endpoint, Outcome::kCompleted, kUsual);
+      harness.End(ticket, *endpoint, Outcome::kCompleted, kExpectedRunTime);
     }
-    bench.balancer.Review(bench.now, bench.random);
+    harness.balancer.EjectOutliers(harness.now, harness.random);
   }
-  EXPECT_EQ(bench.balancer.Ejected(), std::vector<VmId>{silent});
+  EXPECT_EQ(harness.balancer.Ejected(), std::vector<VmId>{unresponsive});
   EXPECT_LE(stuck, 9);
 }
 
@@ -140,56 +142,57 @@
 // turn a bad hour into an outage.
 RC_GTEST_PROP(BalancerProperty, EjectionNeverEmptiesAPool, ()) {
   const auto count = *rc::gen::inRange<std::size_t>(1, 15);
-  Bench bench(count);
+  BalancerHarness harness(count);
   std::set<VmId> bad;
   for (std::size_t index = 0; index < count; ++index) {
     if (*rc::gen::inRange(0, 4) > 0) {
       bad.insert(VmId{"vm-" + std::to_string(index)});
     }
   }
-  bench.RunTasks(300, bad, *rc::gen::element(Outcome::kFailed, Outcome::kUnreachable),
-                 milliseconds(1));
+  harness.RunTasks(300, bad, *rc::gen::element(Outcome::kFailed, Outcome::kUnreachable),
+                   milliseconds(1));
   const std::size_t most = count < 2 ? 0 : std::max<std::size_t>(1, count * 34 / 100);
-  RC_ASSERT(bench.balancer.Ejected().size() <= most);
-  RC_ASSERT(bench.balancer.UsableEndpoints() >= 1u);
+  RC_ASSERT(harness.balancer.Ejected().size() <= most);
+  RC_ASSERT(harness.balancer.UsableEndpoints() >= 1u);
 }
 
 // One team's tasks fail wherever they run. Blamed on the endpoints, they would get healthy ones
 // ejected and cost the other teams a third of the pool.
 TEST(BalancerTest, ATeamThatFailsEverywhereEjectsNoEndpoint) {
-  Bench bench(10);
-  std::size_t most_ejected = 0;
+  BalancerHarness harness(10);
+  std::size_t max_ejected = 0;
   for (int task = 0; task < 3000; ++task) {
-    Ticket ticket = bench.NextTicket();
+    Ticket ticket = harness.NextTicket();
     const bool is_broken = task % 3 != 0;
     ticket.team = is_broken ? TeamId{"broken"} : TeamId{"good"};
-    const auto endpoint = bench.Send(ticket);
-    bench.now += milliseconds(5);
+    const auto endpoint = harness.Send(ticket);
+    harness.now += milliseconds(5);
     ASSERT_TRUE(endpoint);
-    bench.End(ticket, *endpoint, is_broken ? Outcome::kFailed : Outcome::kCompleted, kUsual);
-    bench.Split();
-    most_ejected = task > 100 ? std::max(most_ejected, bench.balancer.Ejected().size()) : 0;
+    harness.End(ticket, *endpoint, is_broken ? Outcome::kFailed : Outcome::kCompleted,
+                kExpectedRunTime);
+    harness.Split();
+    max_ejected = task > 100 ? std::max(max_ejected, harness.balancer.Ejected().size()) : 0;
   }
-  EXPECT_LE(most_ejected, 1u);
+  EXPECT_LE(max_ejected, 1u);
 }
 
 // An endpoint is bad for a while and recovers; another fails every now and then for ever. The first
 // must come back by itself, the second must not go in and out all the time.
 TEST(BalancerTest, ProbesBringARecoveredEndpointBack) {
-  Bench bench(10);
-  bench.RunTasks(500, {VmId{"vm-3"}}, Outcome::kFailed, milliseconds(1));
-  ASSERT_EQ(bench.balancer.Ejected().size(), 1u);
-  bench.RunTasks(10'000, {}, Outcome::kFailed, milliseconds(1));
-  EXPECT_TRUE(bench.balancer.Ejected().empty());
+  BalancerHarness harness(10);
+  harness.RunTasks(500, {VmId{"vm-3"}}, Outcome::kFailed, milliseconds(1));
+  ASSERT_EQ(harness.balancer.Ejected().size(), 1u);
+  harness.RunTasks(10'000, {}, Outcome::kFailed, milliseconds(1));
+  EXPECT_TRUE(harness.balancer.Ejected().empty());
 }
 
 TEST(BalancerTest, WaitsLongerEachTimeAnEndpointFailsAgain) {
-  Bench bench(10);
+  BalancerHarness harness(10);
   int sent = 0;
   int returns = 0;
   for (int second = 0; second < 120; ++second) {
-    sent += bench.RunTasks(1000, {VmId{"vm-3"}}, Outcome::kFailed, milliseconds(1));
-    returns += bench.balancer.Ejected().empty() ? 1 : 0;
+    sent += harness.RunTasks(1000, {VmId{"vm-3"}}, Outcome::kFailed, milliseconds(1));
+    returns += harness.balancer.Ejected().empty() ? 1 : 0;
   }
   // Probes after 2, 4, 8, 16, 32 and 60 seconds and their jitter.
   EXPECT_LE(sent, 3 + 7);
@@ -198,37 +201,37 @@
 
 // Another entry has filled an endpoint. Asking it again at once, for each waiting request, would
 // cost a round trip each time and find it full each time.
-TEST(BalancerTest, LeavesAFullEndpointAloneForAWhile) {
-  Bench bench(1);
-  const Ticket ticket = bench.NextTicket();
-  const auto endpoint = bench.Send(ticket);
+TEST(BalancerTest, BacksOffFromAFullEndpoint) {
+  BalancerHarness harness(1);
+  const Ticket ticket = harness.NextTicket();
+  const auto endpoint = harness.Send(ticket);
   ASSERT_TRUE(endpoint);
-  bench.End(ticket, *endpoint, Outcome::kFull, Duration::zero());
-  EXPECT_FALSE(bench.Send(bench.NextTicket()));
-  bench.now += BalancerOptions{}.longest_full_pause;
-  EXPECT_TRUE(bench.Send(bench.NextTicket()));
+  harness.End(ticket, *endpoint, Outcome::kFull, Duration::zero());
+  EXPECT_FALSE(harness.Send(harness.NextTicket()));
+  harness.now += BalancerOptions{}.max_full_pause;
+  EXPECT_TRUE(harness.Send(harness.NextTicket()));
 }
 
 // A changed inventory takes an endpoint out while it runs tasks and brings another in. Running
 // tasks still end in the ordinary way, and the leaving endpoint gets nothing new.
 TEST(BalancerTest, ANewListKeepsTasksOfALeavingEndpoint) {
-  Bench bench(2);
+  BalancerHarness harness(2);
   std::map<std::uint64_t, std::pair<Ticket, VmId>> running;
   for (int task = 0; task < 16; ++task) {
-    const Ticket ticket = bench.NextTicket();
-    const auto endpoint = bench.Send(ticket);
+    const Ticket ticket = harness.NextTicket();
+    const auto endpoint = harness.Send(ticket);
     ASSERT_TRUE(endpoint);
     running[ticket.id.number] = {ticket, *endpoint};
   }
-  bench.balancer.SetEndpoints(
-      {{VmId{"vm-1"}, ZoneId{"a"}, 8, {}}, {VmId{"vm-9"}, ZoneId{"a"}, 8, {}}}, bench.now);
-  bench.Split();
+  harness.balancer.SetEndpoints(
+      {{VmId{"vm-1"}, ZoneId{"a"}, 8, {}}, {VmId{"vm-9"}, ZoneId{"a"}, 8, {}}}, harness.now);
+  harness.Split();
   for (const auto& [number, task] : running) {
-    bench.End(task.first, task.second, Outcome::kCompleted, kUsual);
+    harness.End(task.first, task.second, Outcome::kCompleted, kExpectedRunTime);
   }
-  EXPECT_EQ(bench.balancer.InFlight(), 0u);
+  EXPECT_EQ(harness.balancer.InFlight(), 0u);
   for (int task = 0; task < 16; ++task) {
-    const auto endpoint = bench.Send(bench.NextTicket());
+    const auto endpoint = harness.Send(harness.NextTicket());
     ASSERT_TRUE(endpoint);
     EXPECT_NE(*endpoint, VmId{"vm-0"});
   }
@@ -237,17 +240,17 @@
 // A few callers give less time than their requests take, now and then. Their deadlines pass while
 // healthy endpoints work; taken for endpoints that lose requests, three in a row would be ejected.
 TEST(BalancerTest, ShortDeadlinesEjectNoEndpoint) {
-  Bench pair(2);
+  BalancerHarness pair(2);
   for (int task = 0; task < 300; ++task) {
     Ticket ticket = pair.NextTicket();
-    const bool is_hasty = task % 20 < 3;
-    ticket.team = TeamId{is_hasty ? "hasty-" + std::to_string(task) : "patient"};
-    ticket.deadline = pair.now + (is_hasty ? milliseconds(50) : milliseconds(5000));
+    const bool has_short_deadline = task % 20 < 3;
+    ticket.team = TeamId{has_short_deadline ? "hasty-" + std::to_string(task) : "patient"};
+    ticket.deadline = pair.now + (has_short_deadline ? milliseconds(50) : milliseconds(5000));
     const auto endpoint = pair.Send(ticket);
     ASSERT_TRUE(endpoint);
-    pair.now += is_hasty ? milliseconds(50) : milliseconds(100);
-    pair.End(ticket, *endpoint, is_hasty ? Outcome::kLost : Outcome::kCompleted,
-             is_hasty ? milliseconds(50) : kUsual);
+    pair.now += has_short_deadline ? milliseconds(50) : milliseconds(100);
+    pair.End(ticket, *endpoint, has_short_deadline ? Outcome::kLost : Outcome::kCompleted,
+             has_short_deadline ? milliseconds(50) : kExpectedRunTime);
     ASSERT_TRUE(pair.balancer.Ejected().empty()) << task;
   }
 }
@@ -255,19 +258,19 @@
 // A request needs an accelerator, and most endpoints have none. It must neither be sent to one of
 // those nor keep the others from starting.
 TEST(BalancerTest, SendsOnlyWhereTheRequestFits) {
-  Bench bench(3);
-  bench.balancer.SetEndpoints({{VmId{"small-1"}, ZoneId{"a"}, 8, {4, 1024, 0}},
-                               {VmId{"small-2"}, ZoneId{"a"}, 8, {4, 1024, 0}},
-                               {VmId{"large"}, ZoneId{"a"}, 1, {8, 4096, 1}}},
-                              bench.now);
-  bench.Split();
-  Ticket demanding = bench.NextTicket();
+  BalancerHarness harness(3);
+  harness.balancer.SetEndpoints({{VmId{"small-1"}, ZoneId{"a"}, 8, {4, 1024, 0}},
+                                 {VmId{"small-2"}, ZoneId{"a"}, 8, {4, 1024, 0}},
+                                 {VmId{"large"}, ZoneId{"a"}, 1, {8, 4096, 1}}},
+                                harness.now);
+  harness.Split();
+  Ticket demanding = harness.NextTicket();
   demanding.requirement = {4, 1024, 1};
-  EXPECT_EQ(bench.Send(demanding), VmId{"large"});
+  EXPECT_EQ(harness.Send(demanding), VmId{"large"});
   demanding.id = {999};
-  EXPECT_EQ(bench.balancer.Find(demanding, bench.now, bench.random).answer,
+  EXPECT_EQ(harness.balancer.Find(demanding, harness.now, harness.random).answer,
             SlotAnswer::kNotForThis);
-  EXPECT_TRUE(bench.Send(bench.NextTicket()));
+  EXPECT_TRUE(harness.Send(harness.NextTicket()));
 }
 
 }  // namespace
--- a/tests/load_balancing/slot_split_test.cc
+++ b/tests/load_balancing/slot_split_test.cc
@@ -61,7 +61,7 @@
 class ZoneSplitTest : public testing::TestWithParam<ZoneCase> {};
 
 // Requests that leave their zone take 1 ms longer each way and are lost when zones are cut off.
-TEST_P(ZoneSplitTest, LaysPartsInTheOwnZoneFirst) {
+TEST_P(ZoneSplitTest, PlacesPartsInTheOwnZoneFirst) {
   const auto endpoints = EndpointsIn({0, 0, 1, 1, 2, 2});
   const double rest = (48.0 - GetParam().part_of_a) / 2;
   const std::vector<scheduling::EntryPart> entries{{EntryId{"a"}, Zone(0), GetParam().part_of_a},
