--- a/include/chervilspar/load_balancing/endpoint.h
+++ b/include/chervilspar/load_balancing/endpoint.h
@@ -7,32 +7,33 @@
 
 namespace chervilspar::load_balancing {
 
-/// An endpoint of a service's pools that may get new work. Endpoints that are leaving, draining or
-/// not fresh enough in the entry's view are not in the list given to the balancer.
+/// An endpoint of a service's pools that may receive new work. The list given to the balancer
+/// leaves out endpoints that are leaving, draining or have a stale state at this entry.
 struct Endpoint {
   VmId id;
   ZoneId zone;
   std::uint32_t slots = 8;
-  /// What the VM offers to one task.
+  /// Resources that the VM offers to one task.
   admission::Requirement shape;
 
   friend bool operator==(const Endpoint&, const Endpoint&) = default;
 };
 
-/// How one try at an endpoint ended.
+/// How one attempt at an endpoint ended.
 enum class Outcome {
-  /// The whole answer is here.
+  /// The complete response was received.
   kCompleted,
-  /// The endpoint answered that the task ran and failed (a 5xx other than a not-run answer).
+  /// The endpoint responded that the task ran and failed (a 5xx other than a not-run response).
   kFailed,
-  /// No whole answer: connection lost after the first byte, task lease or deadline passed.
+  /// No complete response: the connection was lost after the first byte was sent, or the task lease
+  /// or the deadline expired.
   kLost,
-  /// True not-run answers of the endpoint.
+  /// The endpoint responded that the task did not run, for the named reason.
   kFull,
   kDraining,
   kLate,
   kUnfit,
-  /// No connection; no byte has left.
+  /// No connection was made and no byte was sent.
   kUnreachable,
   /// The caller cancelled, or the task was preempted and stopped.
   kStopped,
--- a/include/chervilspar/load_balancing/endpoint_health.h
+++ b/include/chervilspar/load_balancing/endpoint_health.h
@@ -7,49 +7,52 @@
 
 namespace chervilspar::load_balancing {
 
-/// What one finished try says of its endpoint.
+/// What one finished attempt indicates about its endpoint.
 enum class Evidence {
   kGood,
   kBad,
-  /// Says nothing of the endpoint: the team's tasks fail everywhere, or the caller cancelled.
+  /// Indicates nothing about the endpoint: the team's tasks fail everywhere, or the caller
+  /// cancelled.
   kNone,
 };
 
 enum class HealthState {
   kHealthy,
-  /// Gets no work until its probe is due.
+  /// Receives no work until its probe is due.
   kEjected,
-  /// One task is on its way to find out.
+  /// One task is in flight as a probe.
   kProbing,
 };
 
-/// One endpoint's record: how slow it is for its tasks, how often it fails, and whether it gets
-/// work. It is kept by the balancer, which sees the other endpoints and holds the bound on how many
-/// are ejected at once.
+/// Tracks one endpoint's speed relative to its tasks, its failures, and whether it receives work.
+/// The balancer, which knows the other endpoints, decides when to eject it and limits how many are
+/// ejected at once.
 class EndpointHealth {
  public:
-  /// Notes a task that ran `measured` where `expected` was expected.
+  /// Records the measured and the expected run time of a finished task.
   void OnRun(Duration measured, Duration expected);
   void OnEvidence(Evidence evidence);
 
   HealthState State() const { return this->state; }
-  /// Moving mean of the logarithm of measured over expected run time.
+  /// Exponential moving average of ln(measured / expected run time).
   double Slowness() const { return this->slowness; }
   std::uint32_t Samples() const { return this->samples; }
   std::uint32_t FailuresInRow() const { return this->failures_in_row; }
   TimePoint ProbeAt() const { return this->probe_at; }
 
-  /// Takes the endpoint out until a probe; the wait doubles when the last return was not long ago.
-  /// `jitter_unit` in [0, 1) is for jitter, so that entries don't probe together.
+  /// Ejects the endpoint until a probe succeeds. The delay of the probe doubles after a failed
+  /// probe and when the endpoint was readmitted less than `backoff_reset_after` ago. `jitter_unit`
+  /// in [0, 1) scales the added jitter, which keeps entries from probing at the same time.
   void Eject(TimePoint now, const BalancerOptions& options, double jitter_unit);
   void StartProbe();
-  /// The probe says nothing; another is due at once.
+  /// The probe was inconclusive; another is due at once.
   void AbandonProbe(TimePoint now);
-  /// A good probe; the endpoint returns after `kProbesToReturn` in a row.
+  /// Records a successful probe. The endpoint is readmitted after `kProbesToReturn` in a row.
   void OnGoodProbe(TimePoint now);
 
-  /// Slots it may use while it comes back: one at first, one more with each good task, so that an
-  /// endpoint that only answers single tasks well does not get all its slots filled at once.
+  /// Slots that may be used out of `slots`. After readmission this is one, and one more with each
+  /// successful task, so that an endpoint that copes only with single tasks does not get all its
+  /// slots filled at once.
   std::uint32_t SlotLimit(std::uint32_t slots) const;
 
  private:
--- a/include/chervilspar/load_balancing/slot_split.h
+++ b/include/chervilspar/load_balancing/slot_split.h
@@ -6,19 +6,20 @@
 #include "chervilspar/load_balancing/endpoint.h"
 #include "chervilspar/scheduling/fleet_shares.h"
 
-/// Says which slots of which endpoints are whose.
+/// Divides the slots of a service's endpoints among the entries.
 ///
-/// Load pattern: 6 to 9 entries send to the same endpoints of 8 slots, and no dispatcher knows what
-/// is free. Without this module every entry goes after the same free slot, most tries meet a full
-/// endpoint, and at full load the slots idle while the tries go round. Here all entries lay the
-/// same parts over the same slots, so that each slot has one owner that fills it without asking.
-/// Entries whose reports differ for a moment overlap a little; the endpoint's "full" settles it.
+/// 6 to 9 entries send to the same endpoints of 8 slots, and no central dispatcher knows which
+/// slots are free. If every entry competed for the same free slot, most attempts would reach a full
+/// endpoint, and at full load slots would idle while attempts are retried. Instead, all entries
+/// compute the same division, so that each slot has one owner, which fills it without coordination.
+/// Entries whose reports differ for a moment overlap slightly; the endpoint then rejects the excess
+/// as "full".
 namespace chervilspar::load_balancing {
 
-/// The part of each endpoint's slots, in the order of `endpoints`, that belongs to `self`.
-/// Each entry's part is laid in its own zone as far as that has room, the rest over what other
-/// zones leave. Fractions are met on average by the balancer's credit.
-/// Takes time linear in endpoints and entries.
+/// Returns the number of slots of each endpoint, in the order of `endpoints`, that belong to
+/// `self`. Each entry's part is placed in its own zone as far as that has free capacity, and the
+/// rest in the slots that other zones leave over. The balancer's credit honours fractions of a slot
+/// on average. Takes O((endpoints + entries) log zones) time.
 std::vector<double> SplitSlots(const std::vector<Endpoint>& endpoints,
                                const std::vector<scheduling::EntryPart>& entries,
                                const EntryId& self);
--- a/src/load_balancing/balancer.cc
+++ b/src/load_balancing/balancer.cc
@@ -13,19 +13,19 @@
 
 namespace {
 
-/// A probe is a request of some caller. Idempotent ones go first, since a failed probe is tried
-/// again elsewhere; when none comes for this long, any request may be the probe.
+/// A probe is an ordinary request of a caller. Idempotent requests are preferred, since a failed
+/// probe is retried elsewhere. When none arrives for this long, any request may be the probe.
 constexpr Duration kProbeByAnyAfter = std::chrono::seconds(10);
-/// Due probes looked at for one request; more are left to the next one, so that a choice stays
-/// cheap when a third of a large pool is out.
+/// Due probes examined for one request. The limit keeps a choice cheap when a third of a large pool
+/// is ejected.
 constexpr int kMaxProbesExamined = 8;
-/// How long a draining endpoint is left alone; the configuration takes it out within seconds.
+/// Pause after a draining endpoint rejects a task; the configuration removes it within seconds.
 constexpr Duration kDrainingPause = std::chrono::seconds(1);
-/// Slot seconds that an entry may be behind or ahead of its part; more would let an entry that had
-/// nothing to do take more than its part for long afterwards.
+/// Maximum slot seconds that an entry counts as behind or ahead of its part. A larger limit would
+/// let an entry that was idle exceed its part for long afterwards.
 constexpr double kMaxCreditSlotSeconds = 2.0;
-/// Slot seconds behind its part at which an entry looks for free slots that are not its own. The
-/// few milliseconds between the end of a task and the start of the next don't add up to that.
+/// Slot seconds behind its part from which an entry tries open endpoints beyond its own slots. The
+/// few milliseconds between the end of a task and the start of the next don't add up to this.
 constexpr double kMinCreditToTryOpenSlotSeconds = 0.5;
 constexpr double kMicrosecondsPerSecond = 1e6;
 
@@ -125,7 +125,8 @@
 PartUse Balancer::CurrentPartUse() const {
   const auto held = static_cast<double>(this->in_flight);
   if (held + 1.0 <= this->part) {
-    // While a slot is cleared for urgent work of another entry, whoever seeks would find it first.
+    // An entry that tries open endpoints would take a slot that is being cleared for urgent work of
+    // another entry.
     const bool may_try_open =
         this->fleet != FleetLoad::kClearing && this->credit >= kMinCreditToTryOpenSlotSeconds;
     return may_try_open ? PartUse::kBehind : PartUse::kBelow;
@@ -159,7 +160,7 @@
   index = this->policy->Choose(*this->table, ticket, part_use, random);
   if (!index && ticket.work_class == admission::WorkClass::kUrgent &&
       !this->table->open.IsEmpty()) {
-    // A slot that was cleared for urgent work may be at any endpoint.
+    // The slot that was cleared for urgent work may be at any endpoint.
     const std::uint32_t any = this->table->open.Sample(random);
     if (this->table->Fits(any, ticket.requirement)) {
       index = any;
@@ -242,7 +243,7 @@
   } else if (outcome == Outcome::kDraining) {
     this->table->PauseUntil(index, now + kDrainingPause, now);
   } else {
-    // The slot that this task leaves is free.
+    // The slot that this task used is free now, so the endpoint is not full.
     state.pause = Duration::zero();
     this->table->PauseUntil(index, now, now);
   }
--- a/src/load_balancing/balancer_health.cc
+++ b/src/load_balancing/balancer_health.cc
@@ -11,21 +11,22 @@
 
 namespace {
 
-/// Tasks at an endpoint before its speed is judged.
+/// Finished tasks of an endpoint before its speed is compared with others.
 constexpr std::uint32_t kMinSamples = 5;
-/// Tasks overdue at an endpoint, at least, and as a part of its tasks in flight, that speak
-/// against it.
+/// An endpoint is unresponsive when at least this many of its tasks in flight, and at least this
+/// fraction of them, are overdue.
 constexpr std::uint32_t kMinOverdueTasks = 2;
 constexpr double kMinOverdueFraction = 0.5;
-/// When this part of all tasks is overdue, the cause is not one endpoint.
+/// When a larger fraction of the tasks at other endpoints is overdue, the cause is not this
+/// endpoint.
 constexpr double kMaxOverdueFractionElsewhere = 0.25;
-/// A task whose deadline passed before it had run this many times its expected time says more of
-/// the deadline than of the endpoint.
+/// A task whose deadline expired before it ran this many times its expected run time does not count
+/// against the endpoint, since the deadline was too short.
 constexpr int kShortDeadlineFactor = 3;
-/// A team whose tasks fail more often than this fails by itself.
+/// Failures of a team whose failure rate exceeds this are attributed to the team, not to endpoints.
 constexpr double kMaxTeamFailureRate = 0.5;
 constexpr double kTeamFailureRateSmoothing = 0.1;
-/// Bound on memory; teams that fail are few.
+/// Bounds memory: all rates are reset at this size. Few teams fail, so little is lost.
 constexpr std::size_t kMaxTrackedTeams = 4096;
 
 }  // namespace
@@ -112,10 +113,11 @@
     }
   }
   if (values.size() < 2) {
-    // Nothing to compare with; zero means "as long as expected".
+    // There is no other endpoint to compare with; zero stands for the expected run time.
     return 0.0;
   }
-  // The lower one of an even number: of two endpoints, the slow one must not be its own measure.
+  // Takes the lower median of an even number, so that of two endpoints the slow one is not compared
+  // with itself.
   const auto middle = values.begin() + static_cast<std::ptrdiff_t>((values.size() - 1) / 2);
   std::nth_element(values.begin(), middle, values.end());
   return *middle;
--- a/src/load_balancing/endpoint_health.cc
+++ b/src/load_balancing/endpoint_health.cc
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// With exponential run times the logarithm of one sample deviates by 1.3; averaged at this rate
-/// by 0.29, so that a healthy endpoint reaches the logarithm of 4 (1.39) once in 10^6 samples,
-/// while one that is 10 times slower gets there after 9.
+/// With exponentially distributed run times, the logarithm of one sample has a standard deviation
+/// of 1.3, and its average at this rate one of 0.29. A healthy endpoint reaches ln 4 = 1.39 once in
+/// 10^6 samples, while one that is 10 times slower reaches it after 9.
 constexpr double kSlownessSmoothing = 0.1;
-/// A single good answer may be luck.
+/// Successful probes in a row before readmission; a single success may be chance.
 constexpr std::uint32_t kProbesToReturn = 2;
-/// Part of the wait that jitter adds.
+/// Maximum jitter as a fraction of the probe delay.
 constexpr double kMaxJitterFraction = 0.5;
 
 }  // namespace
--- a/src/load_balancing/indexed_set.h
+++ b/src/load_balancing/indexed_set.h
@@ -7,7 +7,7 @@
 
 namespace chervilspar::load_balancing {
 
-/// A set of small numbers with insertion, removal and a random element in constant time.
+/// A set of integers below a limit. Inserts, erases and samples an element in constant time.
 class IndexedSet {
  public:
   void Resize(std::size_t limit) {
--- a/src/load_balancing/placement_policy.cc
+++ b/src/load_balancing/placement_policy.cc
@@ -8,14 +8,14 @@
 
 namespace {
 
-/// Random tries before a whole set is searched for a VM that is large enough.
+/// Random samples before the whole set is searched for a VM that is large enough.
 constexpr int kMaxSamples = 4;
 
-/// In a full fleet, a single slot that looks free in a report is one whose owner is about to fill
-/// it again; this many at one endpoint are left by owners that have nothing to run.
+/// In a full fleet, a single slot that a report shows as free is usually about to be filled again
+/// by its owner. This many idle slots at one endpoint belong to owners that have nothing to run.
 constexpr std::uint32_t kMinIdleSlotsWhenFull = 2;
 
-/// A random element that fits.
+/// Returns a random element that fits the requirement.
 std::optional<std::uint32_t> ChooseFit(const SlotTable& table, const IndexedSet& set,
                                        const admission::Requirement& requirement, Random& random) {
   if (set.IsEmpty()) {
@@ -35,8 +35,7 @@
   return std::nullopt;
 }
 
-/// The better of two random elements: faster by measurement when the difference is plain, else the
-/// less loaded one.
+/// Returns the less loaded of two random elements that fit the requirement.
 std::optional<std::uint32_t> ChooseOfTwo(const SlotTable& table, const IndexedSet& set,
                                          const admission::Requirement& requirement,
                                          Random& random) {
@@ -48,6 +47,7 @@
   return table.At(*second).Load() < table.At(*first).Load() ? second : first;
 }
 
+/// Uses this entry's own slots first and, if `lends` is set, slots that other entries leave idle.
 class SplitPlacement : public PlacementPolicy {
  public:
   explicit SplitPlacement(bool lends) : lends(lends) {}
@@ -101,8 +101,10 @@
     return this->LargestFraction(table, ticket.requirement);
   }
 
-  /// An entry's part has two edges at most, in its own zone and two elsewhere. The neighbour
-  /// prefers its larger fraction, too, so that they seldom want the same slot.
+  /// Returns the endpoint with the largest fraction of a slot that belongs to this entry. An
+  /// entry's part has at most two fractions in its own zone and two elsewhere. The entry that
+  /// shares such a slot prefers its own larger fraction, too, so that they seldom compete for the
+  /// same slot.
   std::optional<std::uint32_t> LargestFraction(const SlotTable& table,
                                                const admission::Requirement& requirement) const {
     std::optional<std::uint32_t> largest;
@@ -120,7 +122,7 @@
   bool lends;
 };
 
-/// Looks only at this entry's own tasks in flight.
+/// Chooses the endpoint with the fewest tasks of this entry in flight.
 class OwnCountsPlacement final : public PlacementPolicy {
  public:
   std::optional<std::uint32_t> Choose(const SlotTable& table, const admission::Ticket& ticket,
@@ -140,7 +142,7 @@
   }
 };
 
-/// The less loaded of two random endpoints, by own and reported tasks.
+/// Chooses the less loaded of two random endpoints, by own and reported tasks.
 class TwoChoicesPlacement final : public PlacementPolicy {
  public:
   std::optional<std::uint32_t> Choose(const SlotTable& table, const admission::Ticket& ticket,
@@ -153,7 +155,7 @@
   }
 };
 
-/// One endpoint after the other.
+/// Chooses the endpoints in turn.
 class RoundRobinPlacement final : public PlacementPolicy {
  public:
   std::optional<std::uint32_t> Choose(const SlotTable& table, const admission::Ticket& ticket,
--- a/src/load_balancing/placement_policy.h
+++ b/src/load_balancing/placement_policy.h
@@ -10,29 +10,30 @@
 
 namespace chervilspar::load_balancing {
 
-/// What the entry as a whole may take beyond the endpoints' own state.
+/// How this entry's tasks in flight compare with its part of the slots, which decides the slots
+/// that it may use.
 enum class PartUse : int {
-  /// It has held less than its part for so long that others must hold its slots.
+  /// The entry has used less than its part for so long that others must occupy its slots.
   kBehind,
-  /// It holds less than its part of the slots.
+  /// The entry uses less than its part of the slots.
   kBelow,
-  /// It holds about its part, and has used less than that so far: one slot more is due to it.
+  /// The entry uses its part but for a fraction of a slot, and its credit entitles it to one more.
   kDue,
-  /// It holds its part, and the fleet is not full.
+  /// The entry uses its part, and the fleet has free capacity.
   kMayBorrow,
-  /// It holds its part, and the fleet is full.
+  /// The entry uses its part, and the fleet is full.
   kExhausted,
 };
 
-/// Chooses among the endpoints of a table.
+/// Chooses among the endpoints of a slot table.
 class PlacementPolicy {
  public:
   virtual ~PlacementPolicy() = default;
-  /// An endpoint that is likely to have a free slot for the ticket.
+  /// Returns the index of an endpoint that is likely to have a free slot for the ticket.
   virtual std::optional<std::uint32_t> Choose(const SlotTable& table,
                                               const admission::Ticket& ticket, PartUse part,
                                               Random& random) = 0;
-  /// Whether `Choose` could find a slot for an undemanding ticket.
+  /// Whether `Choose` could find a slot for a ticket that fits every endpoint.
   virtual bool HasCandidate(const SlotTable& table, PartUse part) const = 0;
 };
 
--- a/src/load_balancing/slot_split.cc
+++ b/src/load_balancing/slot_split.cc
@@ -7,25 +7,25 @@
 
 namespace {
 
-/// A stretch on a line of slots.
+/// An interval of slot numbers, with fractions of a slot.
 struct Interval {
   double from = 0.0;
   double to = 0.0;
 };
 
-/// One zone's slots, and what its own entries want of them.
+/// One zone's slots and the demand of the zone's own entries for them.
 struct ZoneSlots {
   double slots = 0.0;
   double wanted = 0.0;
-  /// Laid so far by entries of the zone.
+  /// Slots assigned so far to entries of the zone.
   double assigned = 0.0;
 
   double LocalRate() const { return this->wanted > this->slots ? this->slots / this->wanted : 1.0; }
   double LeftOver() const { return std::max(0.0, this->slots - this->wanted); }
 };
 
-/// What belongs to `self`: a stretch of its own zone, and one of the left-over slots of all zones
-/// in a row.
+/// The slots that belong to `self`: an interval of its own zone's slots, and one of the left-over
+/// slots of all zones, numbered consecutively.
 struct OwnIntervals {
   Interval local;
   Interval left_over;
@@ -87,8 +87,8 @@
     const Interval slots{from, from + endpoint.slots};
     from = slots.to;
     double part = endpoint.zone == own_zone ? Overlap(slots, own.local) : 0.0;
-    // Slots of a zone past `wanted` are left over; seen from the line of all left-over slots, they
-    // begin at `shift`.
+    // Slots of a zone from `wanted` on are left over. Adding `shift` converts their numbers within
+    // the zone to numbers among the left-over slots of all zones.
     const double shift = left_over_start[endpoint.zone] - zone.wanted;
     const Interval left_over{std::max(slots.from, zone.wanted) + shift, slots.to + shift};
     part += left_over.to > left_over.from ? Overlap(left_over, own.left_over) : 0.0;
--- a/src/load_balancing/slot_table.cc
+++ b/src/load_balancing/slot_table.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Parts of slots smaller than this are rounding errors of the split.
+/// Fractions of a slot below this are rounding errors of the split.
 constexpr double kSplitTolerance = 1e-6;
 
 bool IsEnough(const admission::Requirement& shape, const admission::Requirement& requirement) {
--- a/src/load_balancing/slot_table.h
+++ b/src/load_balancing/slot_table.h
@@ -18,51 +18,51 @@
 
 namespace chervilspar::load_balancing {
 
-/// A task of this entry at an endpoint.
+/// A task that this entry has in flight at an endpoint.
 struct SentTask {
   admission::TicketId ticket;
   TimePoint sent_at;
-  /// From then on the task speaks against its endpoint.
+  /// From then on the task counts against its endpoint.
   TimePoint overdue_at;
 };
 
-/// All that the balancer knows of one endpoint.
+/// The balancer's state of one endpoint.
 struct EndpointState {
   Endpoint endpoint;
   bool is_local = false;
-  /// In the list given by the configuration; false while old tasks end.
+  /// Whether the configuration lists the endpoint. An unlisted one is kept until its tasks end.
   bool is_listed = true;
   std::vector<SentTask> in_flight;
-  /// Tasks of other entries, by their reports.
+  /// Tasks in flight of other entries, by their reports.
   std::uint32_t peer_tasks = 0;
-  /// Slots that belong to this entry.
+  /// Number of slots that belong to this entry, by `SplitSlots`.
   double split = 0.0;
   EndpointHealth health;
   TimePoint paused_until;
   Duration pause = Duration::zero();
-  /// Kept for urgent work until then.
+  /// Receives only urgent work until then.
   TimePoint reserved_until;
 
   std::uint32_t Own() const { return static_cast<std::uint32_t>(this->in_flight.size()); }
-  /// Slots that nobody uses, by all that is known.
+  /// Slots that no entry is known to use.
   std::uint32_t IdleSlots() const;
-  /// Part of the slots in use, by all that is known.
+  /// Fraction of the slots that entries are known to use. May exceed 1.
   double Load() const;
 };
 
-/// The endpoints of one service, filed by what may be done with them, so that a choice takes
-/// constant time however many there are.
+/// The endpoints of one service, indexed by the kind of free slot that they have, so that a choice
+/// takes constant time regardless of their number.
 class SlotTable {
  public:
   void SetEndpoints(const std::vector<Endpoint>& endpoints, const ZoneId& zone, TimePoint now);
 
   std::size_t Count() const { return this->states.size(); }
   const EndpointState& At(std::uint32_t index) const { return this->states[index]; }
-  /// Call `Reindex` after changing a state.
+  /// Returns the state for changing. Call `Reindex` afterwards.
   EndpointState& Change(std::uint32_t index) { return this->states[index]; }
   std::optional<std::uint32_t> Find(const VmId& endpoint) const;
   void Reindex(std::uint32_t index, TimePoint now);
-  /// Files the endpoints whose pause has ended.
+  /// Reindexes the endpoints whose pause has ended.
   void Resume(TimePoint now);
   void PauseUntil(std::uint32_t index, TimePoint until, TimePoint now);
 
@@ -70,15 +70,15 @@
   /// Whether every listed endpoint is large enough.
   bool AllFit(const admission::Requirement& requirement) const;
 
-  /// A whole slot of this entry's part is free; own zone, other zones.
+  /// Endpoints with a whole free slot of this entry's part, in its own zone and in others.
   IndexedSet own_local;
   IndexedSet own_remote;
-  /// The fraction of a slot at the edge of this entry's part.
+  /// Endpoints with a free fraction of a slot of this entry's part.
   IndexedSet own_fraction;
-  /// By the reports, a slot is free that nobody uses; own zone, other zones.
+  /// Endpoints with a slot that no entry is known to use, in this entry's own zone and in others.
   IndexedSet idle_local;
   IndexedSet idle_remote;
-  /// Not known to be full; other entries may hold all slots.
+  /// Endpoints not known to be full; other entries may use all their slots.
   IndexedSet open;
 
  private:
--- a/tests/load_balancing/balancer_test.cc
+++ b/tests/load_balancing/balancer_test.cc
@@ -19,7 +19,7 @@
 constexpr TimePoint kStart = TimePoint(seconds(100));
 constexpr Duration kExpectedRunTime = milliseconds(100);
 
-/// A balancer of one entry that is alone, with helpers to run single tasks.
+/// The balancer of the only entry of a fleet, with helpers to run single tasks.
 class BalancerHarness {
  public:
   explicit BalancerHarness(std::size_t endpoints, BalancerOptions options = {})
@@ -60,8 +60,8 @@
                            this->random);
   }
 
-  /// Runs tasks one after the other; `bad` ones end by `outcome` after `measured`. Returns how many
-  /// tasks `bad` endpoints got.
+  /// Runs tasks one after the other. Those at `bad` endpoints end with `outcome` after `measured`.
+  /// Returns how many tasks the `bad` endpoints received.
   int RunTasks(int count, const std::set<VmId>& bad, Outcome outcome, Duration measured) {
     int sent_to_bad = 0;
     for (int task = 0; task < count; ++task) {
@@ -95,9 +95,10 @@
 
 class BadEndpointTest : public testing::TestWithParam<BadCase> {};
 
-// One endpoint of ten goes bad: it fails everything in a millisecond, loses everything, or is ten
-// times slower. Free again at once, a failing one would draw all the work of an entry that looks
-// for the least loaded endpoint; callers would see a tenth or more of their requests fail.
+// One endpoint of ten fails every task within a millisecond, loses every task, or is ten times
+// slower. Without ejection, a failing endpoint attracts the work of an entry that prefers the least
+// loaded endpoint, since its slots are free again at once, and a tenth or more of the requests
+// fail.
 TEST_P(BadEndpointTest, ReceivesFewTasks) {
   for (const auto ejection : {Ejection::kOn, Ejection::kOff}) {
     BalancerOptions options;
@@ -117,8 +118,8 @@
                                          BadCase{"Slow", Outcome::kCompleted, milliseconds(1000)}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// An endpoint takes tasks and answers none of them. Nothing fails, so only the age of its tasks
-// tells; without that, all its slots fill and it holds its part of the requests to their deadlines.
+// An endpoint accepts tasks and never responds. No task fails, so only the age of its tasks shows
+// the fault. If that is ignored, all its slots fill, and its requests wait until their deadlines.
 TEST(BalancerTest, EjectsAnEndpointThatNeverAnswers) {
   BalancerHarness harness(10);
   const VmId unresponsive{"vm-3"};
@@ -138,8 +139,8 @@
   EXPECT_LE(stuck, 9);
 }
 
-// A network fault or a bad release makes most endpoints fail at once. Taking them all out would
-// turn a bad hour into an outage.
+// A network fault or a faulty release makes most endpoints fail at once. Ejecting all of them would
+// turn partial failures into an outage.
 RC_GTEST_PROP(BalancerProperty, EjectionNeverEmptiesAPool, ()) {
   const auto count = *rc::gen::inRange<std::size_t>(1, 15);
   BalancerHarness harness(count);
@@ -156,8 +157,8 @@
   RC_ASSERT(harness.balancer.UsableEndpoints() >= 1u);
 }
 
-// One team's tasks fail wherever they run. Blamed on the endpoints, they would get healthy ones
-// ejected and cost the other teams a third of the pool.
+// One team's tasks fail wherever they run. If these failures counted against the endpoints, healthy
+// ones would be ejected, and the other teams would lose a third of the pool.
 TEST(BalancerTest, ATeamThatFailsEverywhereEjectsNoEndpoint) {
   BalancerHarness harness(10);
   std::size_t max_ejected = 0;
@@ -176,8 +177,7 @@
   EXPECT_LE(max_ejected, 1u);
 }
 
-// An endpoint is bad for a while and recovers; another fails every now and then for ever. The first
-// must come back by itself, the second must not go in and out all the time.
+// An endpoint fails for a while and recovers. Probes must readmit it without an operator.
 TEST(BalancerTest, ProbesBringARecoveredEndpointBack) {
   BalancerHarness harness(10);
   harness.RunTasks(500, {VmId{"vm-3"}}, Outcome::kFailed, milliseconds(1));
@@ -186,6 +186,8 @@
   EXPECT_TRUE(harness.balancer.Ejected().empty());
 }
 
+// An endpoint keeps failing. Without a growing probe delay it would be readmitted and ejected again
+// and again, and each time fail requests of callers.
 TEST(BalancerTest, WaitsLongerEachTimeAnEndpointFailsAgain) {
   BalancerHarness harness(10);
   int sent = 0;
@@ -194,13 +196,13 @@
     sent += harness.RunTasks(1000, {VmId{"vm-3"}}, Outcome::kFailed, milliseconds(1));
     returns += harness.balancer.Ejected().empty() ? 1 : 0;
   }
-  // Probes after 2, 4, 8, 16, 32 and 60 seconds and their jitter.
+  // Three failures eject the endpoint; probes follow after 2, 4, 8, 16, 32 and 60 s plus jitter.
   EXPECT_LE(sent, 3 + 7);
   EXPECT_EQ(returns, 0);
 }
 
-// Another entry has filled an endpoint. Asking it again at once, for each waiting request, would
-// cost a round trip each time and find it full each time.
+// Another entry has filled an endpoint. Without a pause, each waiting request would cost a round
+// trip to an endpoint that is still full.
 TEST(BalancerTest, BacksOffFromAFullEndpoint) {
   BalancerHarness harness(1);
   const Ticket ticket = harness.NextTicket();
@@ -212,8 +214,8 @@
   EXPECT_TRUE(harness.Send(harness.NextTicket()));
 }
 
-// A changed inventory takes an endpoint out while it runs tasks and brings another in. Running
-// tasks still end in the ordinary way, and the leaving endpoint gets nothing new.
+// A new inventory removes an endpoint while it runs tasks and adds another. The running tasks must
+// still end normally, and the removed endpoint must receive no new ones.
 TEST(BalancerTest, ANewListKeepsTasksOfALeavingEndpoint) {
   BalancerHarness harness(2);
   std::map<std::uint64_t, std::pair<Ticket, VmId>> running;
@@ -237,14 +239,14 @@
   }
 }
 
-// A few callers give less time than their requests take, now and then. Their deadlines pass while
-// healthy endpoints work; taken for endpoints that lose requests, three in a row would be ejected.
+// Some callers set deadlines shorter than the run time of their requests. If tasks that expire at
+// healthy endpoints counted as lost by the endpoint, three in a row would eject it.
 TEST(BalancerTest, ShortDeadlinesEjectNoEndpoint) {
   BalancerHarness pair(2);
   for (int task = 0; task < 300; ++task) {
     Ticket ticket = pair.NextTicket();
     const bool has_short_deadline = task % 20 < 3;
-    ticket.team = TeamId{has_short_deadline ? "hasty-" + std::to_string(task) : "patient"};
+    ticket.team = TeamId{has_short_deadline ? "short-deadline-" + std::to_string(task) : "patient"};
     ticket.deadline = pair.now + (has_short_deadline ? milliseconds(50) : milliseconds(5000));
     const auto endpoint = pair.Send(ticket);
     ASSERT_TRUE(endpoint);
@@ -256,7 +258,7 @@
 }
 
 // A request needs an accelerator, and most endpoints have none. It must neither be sent to one of
-// those nor keep the others from starting.
+// those nor block the requests behind it.
 TEST(BalancerTest, SendsOnlyWhereTheRequestFits) {
   BalancerHarness harness(3);
   harness.balancer.SetEndpoints({{VmId{"small-1"}, ZoneId{"a"}, 8, {4, 1024, 0}},
--- a/tests/load_balancing/slot_split_test.cc
+++ b/tests/load_balancing/slot_split_test.cc
@@ -19,8 +19,9 @@
   return endpoints;
 }
 
-// Entries fill their own slots without asking. If two owned the same slot, half of the tries would
-// meet a full endpoint; a slot that nobody owned would idle while requests wait.
+// Entries fill their own slots without coordination. If two entries owned the same slot, half of
+// their attempts would reach a full endpoint; a slot without an owner would idle while requests
+// wait.
 RC_GTEST_PROP(SlotSplitProperty, EverySlotHasOneOwner, ()) {
   const auto zones = *rc::gen::container<std::vector<std::size_t>>(
       *rc::gen::inRange<std::size_t>(1, 12), rc::gen::inRange<std::size_t>(0, 3));
@@ -60,7 +61,8 @@
 
 class ZoneSplitTest : public testing::TestWithParam<ZoneCase> {};
 
-// Requests that leave their zone take 1 ms longer each way and are lost when zones are cut off.
+// Requests that leave their zone take 1 ms longer each way and are lost when the zones are
+// partitioned from each other.
 TEST_P(ZoneSplitTest, PlacesPartsInTheOwnZoneFirst) {
   const auto endpoints = EndpointsIn({0, 0, 1, 1, 2, 2});
   const double rest = (48.0 - GetParam().part_of_a) / 2;
