--- a/include/chervilspar/idempotency/request_client.h
+++ b/include/chervilspar/idempotency/request_client.h
@@ -68,7 +68,7 @@
     EntryId owner;
     bool dispatched = false;
   };
-  struct Unseen {
+  struct Unacknowledged {
     OutgoingOutcome outcome;
     TimePoint next_try;
     std::uint32_t tries = 0;
@@ -80,7 +80,7 @@
   membership::EntryList list;
   std::uint64_t last_attempt = 0;
   std::map<std::uint64_t, Pending> pending;
-  std::map<std::uint64_t, Unseen> unseen;
+  std::map<std::uint64_t, Unacknowledged> unacknowledged;
 };
 
 }  // namespace chervilspar::idempotency
--- a/include/chervilspar/idempotency/request_registry.h
+++ b/include/chervilspar/idempotency/request_registry.h
@@ -28,13 +28,13 @@
   std::size_t capacity = 200000;
   /// How far a caller's clock may be ahead. Ids from further ahead are refused, and an owner's
   /// first moments are answered by "may have run" for this long.
-  Duration max_caller_ahead = std::chrono::seconds(1);
+  Duration max_caller_clock_lead = std::chrono::seconds(1);
 };
 
 /// Safety mechanisms of `RequestRegistry` that a test may take out.
 struct RegistryGuards {
   /// Ids minted before the owner's birth, plus skew, may have run.
-  membership::Guard birth = membership::Guard::kOn;
+  membership::Guard ownership_start = membership::Guard::kOn;
   /// Ids whose owner changed are not run before all entries have the new list.
   membership::Guard joint_rule = membership::Guard::kOn;
   /// Ids from the future are refused.
@@ -84,7 +84,7 @@
     friend auto operator<=>(const Key&, const Key&) = default;
   };
   /// A list of entries that is or was in force, and when all had come to the one after it.
-  struct Era {
+  struct PastEntryList {
     std::set<EntryId> entries;
     WallTime ended;
   };
@@ -93,13 +93,15 @@
   Registration DecideKnown(Record& record, const Key& key, const Attempt& attempt) const;
   Registration DecideNew(const Key& key, const Attempt& attempt, WallTime wall_now);
   std::optional<Registration> FindNotOwned(const RequestId& id) const;
-  std::optional<WallTime> BirthFor(const RequestId& id) const;
-  bool MayPredateBirth(const Key& key) const;
-  bool MakeRoom(WallTime wall_now);
-  void ForgetOldest();
-  void RaiseUnknown(WallTime until);
+  std::optional<WallTime> OwnershipStartOf(const RequestId& id) const;
+  bool MayPredateOwnership(const Key& key) const;
+  bool EvictIfFull(WallTime wall_now);
+  void EvictOldest();
+  void ExtendUnknown(WallTime until);
   /// Largest lead of an id's time over this clock's reading when an earlier owner accepted it.
-  Duration Margin() const { return this->bounds.max_caller_ahead + this->max_clock_skew; }
+  Duration MaxClockLead() const {
+    return this->bounds.max_caller_clock_lead + this->max_clock_skew;
+  }
 
   membership::Self self;
   Duration max_clock_skew;
@@ -110,9 +112,9 @@
   /// Whether all entries have been known to act by one list in this life, or there was none yet.
   bool agreed_once = false;
   /// Lists since the last one that all entries had applied, the current one last.
-  std::vector<std::set<EntryId>> unsettled_lists;
+  std::vector<std::set<EntryId>> unconfirmed_lists;
   /// Earlier lists, oldest first, kept for `max_age`.
-  std::vector<Era> eras;
+  std::vector<PastEntryList> past_lists;
   /// Ids minted up to here and not remembered may have run.
   WallTime unknown_until;
   std::map<Key, Record> records;
--- a/src/idempotency/request_client.cc
+++ b/src/idempotency/request_client.cc
@@ -11,11 +11,11 @@
 
 /// An outcome without a confirmation is repeated after this, and given up after so many tries: the
 /// owner is gone by then, and its successor answers "may have run" by itself.
-constexpr Duration kOutcomeRepeat = std::chrono::milliseconds(500);
-constexpr std::uint32_t kOutcomeTries = 20;
+constexpr Duration kOutcomeRetryInterval = std::chrono::milliseconds(500);
+constexpr std::uint32_t kMaxOutcomeAttempts = 20;
 
 /// Tries for an id that this entry owns: with nine entries, 200 all fail once in 10^10 times.
-constexpr int kOwnIdTries = 200;
+constexpr int kMaxOwnIdAttempts = 200;
 
 }  // namespace
 
@@ -79,31 +79,31 @@
 OutgoingOutcome RequestClient::Report(const Attempt& attempt, const Pending& of, Verdict verdict,
                                       TimePoint now) {
   OutgoingOutcome outcome{of.owner, {of.id, attempt, verdict}};
-  this->unseen[attempt.number] = Unseen{outcome, now + kOutcomeRepeat, 1};
+  this->unacknowledged[attempt.number] = Unacknowledged{outcome, now + kOutcomeRetryInterval, 1};
   return outcome;
 }
 
 void RequestClient::OnOutcomeSeen(const OutcomeSeen& seen) {
-  const bool is_mine =
+  const bool is_own =
       seen.attempt.entry == this->self.id && seen.attempt.incarnation == this->self.incarnation;
-  if (is_mine) {
-    this->unseen.erase(seen.attempt.number);
+  if (is_own) {
+    this->unacknowledged.erase(seen.attempt.number);
   }
 }
 
 std::vector<OutgoingOutcome> RequestClient::Tick(TimePoint now) {
   std::vector<OutgoingOutcome> due;
-  for (auto report = this->unseen.begin(); report != this->unseen.end();) {
+  for (auto report = this->unacknowledged.begin(); report != this->unacknowledged.end();) {
     if (report->second.next_try > now) {
       ++report;
       continue;
     }
-    if (report->second.tries >= kOutcomeTries) {
-      report = this->unseen.erase(report);
+    if (report->second.tries >= kMaxOutcomeAttempts) {
+      report = this->unacknowledged.erase(report);
       continue;
     }
     due.push_back(report->second.outcome);
-    report->second.next_try = now + kOutcomeRepeat;
+    report->second.next_try = now + kOutcomeRetryInterval;
     ++report->second.tries;
     ++report;
   }
@@ -112,7 +112,7 @@
 
 UuidV7 RequestClient::MakeOwnId(WallTime now, Random& random) const {
   UuidV7 uuid = MakeUuidV7(now, random);
-  for (int tried = 1; tried < kOwnIdTries; ++tried) {
+  for (int tried = 1; tried < kMaxOwnIdAttempts; ++tried) {
     if (OwnerOf(uuid.id, this->list.entries) == this->self.id) {
       return uuid;
     }
--- a/src/idempotency/request_registry.cc
+++ b/src/idempotency/request_registry.cc
@@ -17,15 +17,15 @@
 void RequestRegistry::OnConfiguration(const membership::EntryList& list, Duration max_clock_skew) {
   CHERVILSPAR_ASSERT(list.version >= this->current.version);
   this->max_clock_skew = std::max(this->max_clock_skew, max_clock_skew);
-  const bool skipped_first_list =
+  const bool missed_first_list =
       this->current.entries.empty() && list.version > this->current.version + 1;
-  if (skipped_first_list) {
+  if (missed_first_list) {
     // An entry that saw the first list may own ids under it that this entry takes for its own.
     this->agreed_once = false;
   }
   this->current = list;
-  if (this->unsettled_lists.empty() || this->unsettled_lists.back() != list.entries) {
-    this->unsettled_lists.push_back(list.entries);
+  if (this->unconfirmed_lists.empty() || this->unconfirmed_lists.back() != list.entries) {
+    this->unconfirmed_lists.push_back(list.entries);
   }
 }
 
@@ -34,11 +34,11 @@
     return;
   }
   this->may_own = true;
-  this->unsettled_lists = {this->current.entries};
+  this->unconfirmed_lists = {this->current.entries};
   // With no configuration in the whole log, no id has ever had an owner.
   this->agreed_once = this->current.version == 0;
   if (!this->agreed_once) {
-    this->RaiseUnknown(this->self.incarnation.started + this->Margin());
+    this->ExtendUnknown(this->self.incarnation.started + this->MaxClockLead());
   }
 }
 
@@ -49,13 +49,13 @@
   if (!this->agreed_once) {
     // Lists before this life's first are unknown, and with them who owned an id until now.
     this->agreed_once = true;
-    this->RaiseUnknown(wall_now + this->Margin());
+    this->ExtendUnknown(wall_now + this->MaxClockLead());
   }
-  this->unsettled_lists.pop_back();
-  for (std::set<EntryId>& list : this->unsettled_lists) {
-    this->eras.push_back({std::move(list), wall_now});
+  this->unconfirmed_lists.pop_back();
+  for (std::set<EntryId>& list : this->unconfirmed_lists) {
+    this->past_lists.push_back({std::move(list), wall_now});
   }
-  this->unsettled_lists = {this->current.entries};
+  this->unconfirmed_lists = {this->current.entries};
 }
 
 RegisterReply RequestRegistry::OnRegister(const RegisterRequest& request, WallTime wall_now) {
@@ -95,8 +95,8 @@
   if (is_repeat || not_owned) {
     return not_owned.value_or(Registration::kNotReady);
   }
-  const std::optional<WallTime> birth = this->BirthFor(key.id);
-  if (birth && key.minted <= *birth + this->Margin()) {
+  const std::optional<WallTime> ownership_start = this->OwnershipStartOf(key.id);
+  if (ownership_start && key.minted <= *ownership_start + this->MaxClockLead()) {
     return Registration::kMayHaveRun;
   }
   record = {State::kRunning, attempt};
@@ -111,14 +111,14 @@
   if (key.minted <= wall_now - this->bounds.max_age) {
     return Registration::kTooOld;
   }
-  if (this->MayPredateBirth(key)) {
+  if (this->MayPredateOwnership(key)) {
     return Registration::kMayHaveRun;
   }
-  const bool is_ahead = key.minted > wall_now + this->bounds.max_caller_ahead;
+  const bool is_ahead = key.minted > wall_now + this->bounds.max_caller_clock_lead;
   if (is_ahead && this->guards.future == Guard::kOn) {
     return Registration::kFromFuture;
   }
-  if (!this->MakeRoom(wall_now)) {
+  if (!this->EvictIfFull(wall_now)) {
     return Registration::kFull;
   }
   const bool is_new = this->records.emplace(key, Record{State::kRunning, attempt}).second;
@@ -139,7 +139,7 @@
   if (!this->agreed_once) {
     return Registration::kNotReady;
   }
-  for (const std::set<EntryId>& list : this->unsettled_lists) {
+  for (const std::set<EntryId>& list : this->unconfirmed_lists) {
     const std::optional<EntryId> owner = OwnerOf(id, list);
     if (owner && *owner != this->self.id) {
       return Registration::kNotReady;
@@ -148,48 +148,49 @@
   return std::nullopt;
 }
 
-std::optional<WallTime> RequestRegistry::BirthFor(const RequestId& id) const {
-  for (auto era = this->eras.rbegin(); era != this->eras.rend(); ++era) {
-    const std::optional<EntryId> owner = OwnerOf(id, era->entries);
+std::optional<WallTime> RequestRegistry::OwnershipStartOf(const RequestId& id) const {
+  for (auto past_list = this->past_lists.rbegin(); past_list != this->past_lists.rend();
+       ++past_list) {
+    const std::optional<EntryId> owner = OwnerOf(id, past_list->entries);
     if (owner && *owner != this->self.id) {
-      return era->ended;
+      return past_list->ended;
     }
   }
   return std::nullopt;
 }
 
-bool RequestRegistry::MayPredateBirth(const Key& key) const {
-  if (this->guards.birth == Guard::kOff) {
+bool RequestRegistry::MayPredateOwnership(const Key& key) const {
+  if (this->guards.ownership_start == Guard::kOff) {
     return false;
   }
   if (key.minted <= this->unknown_until) {
     return true;
   }
-  const std::optional<WallTime> birth = this->BirthFor(key.id);
-  return birth && key.minted <= *birth + this->Margin();
+  const std::optional<WallTime> ownership_start = this->OwnershipStartOf(key.id);
+  return ownership_start && key.minted <= *ownership_start + this->MaxClockLead();
 }
 
-bool RequestRegistry::MakeRoom(WallTime wall_now) {
+bool RequestRegistry::EvictIfFull(WallTime wall_now) {
   if (this->records.size() < this->bounds.capacity) {
     return true;
   }
   if (this->records.begin()->first.minted > wall_now - this->bounds.min_age) {
     return false;
   }
-  this->ForgetOldest();
+  this->EvictOldest();
   return true;
 }
 
-void RequestRegistry::ForgetOldest() {
+void RequestRegistry::EvictOldest() {
   const auto oldest = this->records.begin();
   // What is forgotten may have run. Ids of the same age that were never seen share its answer.
   if (this->guards.forgotten == Guard::kOn) {
-    this->RaiseUnknown(oldest->first.minted);
+    this->ExtendUnknown(oldest->first.minted);
   }
   this->records.erase(oldest);
 }
 
-void RequestRegistry::RaiseUnknown(WallTime until) {
+void RequestRegistry::ExtendUnknown(WallTime until) {
   this->unknown_until = std::max(this->unknown_until, until);
 }
 
@@ -222,13 +223,14 @@
 }
 
 void RequestRegistry::Tick(WallTime wall_now) {
-  const WallTime oldest_kept = wall_now - this->bounds.max_age;
-  while (!this->records.empty() && this->records.begin()->first.minted <= oldest_kept) {
-    this->ForgetOldest();
-  }
-  while (!this->eras.empty() && this->eras.front().ended + this->Margin() <= oldest_kept) {
-    this->RaiseUnknown(this->eras.front().ended + this->Margin());
-    this->eras.erase(this->eras.begin());
+  const WallTime evict_until = wall_now - this->bounds.max_age;
+  while (!this->records.empty() && this->records.begin()->first.minted <= evict_until) {
+    this->EvictOldest();
+  }
+  while (!this->past_lists.empty() &&
+         this->past_lists.front().ended + this->MaxClockLead() <= evict_until) {
+    this->ExtendUnknown(this->past_lists.front().ended + this->MaxClockLead());
+    this->past_lists.erase(this->past_lists.begin());
   }
 }
 
--- a/tests/idempotency/client_test.cc
+++ b/tests/idempotency/client_test.cc
@@ -79,7 +79,7 @@
   EXPECT_TRUE(holds);
 }
 
-enum class Step { kReplyYes, kReplyNo, kGiveUp, kOtherLife };
+enum class Step { kReplyYes, kReplyNo, kGiveUp, kOtherIncarnation };
 
 struct ReplyCase {
   std::string name;
@@ -108,7 +108,7 @@
       case Step::kGiveUp:
         client.GiveUp(reply.attempt, At(1));
         break;
-      case Step::kOtherLife:
+      case Step::kOtherIncarnation:
         reply.attempt.incarnation.nonce = 99;
         break;
     }
@@ -124,10 +124,11 @@
         ReplyCase{"Refused", {Step::kReplyNo}, ReplyUse::kRefuse},
         ReplyCase{"LeaveAfterRefusal", {Step::kReplyNo, Step::kReplyYes}, ReplyUse::kIgnore},
         ReplyCase{"TooLate", {Step::kGiveUp, Step::kReplyYes}, ReplyUse::kIgnore},
-        ReplyCase{"ForAPredecessor", {Step::kOtherLife, Step::kReplyYes}, ReplyUse::kIgnore}),
+        ReplyCase{
+            "ForAPredecessor", {Step::kOtherIncarnation, Step::kReplyYes}, ReplyUse::kIgnore}),
     [](const auto& info) { return info.param.name; });
 
-TEST(RequestClientTest, RepeatsAnOutcomeUntilItIsSeen) {
+TEST(RequestClientTest, RepeatsAnOutcomeUntilItIsAcknowledged) {
   RequestClient client = ClientOf("e1");
   const auto begun = client.Begin(RequestId{"x"}, At(0));
   client.OnReply({RequestId{"x"}, begun->request.attempt, Registration::kMayRun});
@@ -159,7 +160,7 @@
 
 // The first answer to a deposit charge is lost and the repeat meets an owner that can't know of it.
 // "Not run" would send the caller off to charge again under a new id.
-TEST_P(RegistrationVerdictTest, SaysNotRunOnlyWhenNoAttemptCanHaveRun) {
+TEST_P(RegistrationVerdictTest, ReturnsNotRunOnlyWhenNoAttemptCanHaveRun) {
   EXPECT_EQ(VerdictOf(GetParam().registration, GetParam().origin), GetParam().verdict);
 }
 
--- a/tests/idempotency/registry_test.cc
+++ b/tests/idempotency/registry_test.cc
@@ -145,10 +145,10 @@
 
 // The owner is replaced after it let a deposit be charged, and the caller, who got no answer, asks
 // again. The successor has never heard of the request and would charge a second time.
-TEST(RegistryTest, SuccessorDoesNotRunWhatWasMintedBeforeItsBirth) {
+TEST(RegistryTest, SuccessorDoesNotRunIdsMintedBeforeItsOwnership) {
   for (const Guard guard : {Guard::kOn, Guard::kOff}) {
     RegistryGuards guards;
-    guards.birth = guard;
+    guards.ownership_start = guard;
     RequestRegistry successor(SelfOf("e1", 100), std::chrono::milliseconds(500), {}, guards);
     successor.OnConfiguration(List(3, {"e1", "e2"}), std::chrono::milliseconds(500));
     successor.OnMayOwn();
--- a/tests/prove/guards.cc
+++ b/tests/prove/guards.cc
@@ -29,7 +29,7 @@
       {"start-by", [](GuardSet& set) -> Guard& { return set.quota.start_by; }, 180},
       {"task-hold", [](GuardSet& set) -> Guard& { return set.quota.task_hold; }, 1},
       {"grant-once", [](GuardSet& set) -> Guard& { return set.quota.grant_once; }, 82},
-      {"owner-birth", [](GuardSet& set) -> Guard& { return set.registry.birth; }, 2},
+      {"owner-birth", [](GuardSet& set) -> Guard& { return set.registry.ownership_start; }, 2},
       {"owner-joint-rule", [](GuardSet& set) -> Guard& { return set.registry.joint_rule; }, 5},
       {"future-ids", [](GuardSet& set) -> Guard& { return set.registry.future; }, 213},
       {"forgotten-ids", [](GuardSet& set) -> Guard& { return set.registry.forgotten; }, 19},
