--- a/include/chervilspar/idempotency/messages.h
+++ b/include/chervilspar/idempotency/messages.h
@@ -9,17 +9,17 @@
 
 namespace chervilspar::idempotency {
 
-/// One try of one entry to run a request; a repeat of the caller is another one.
+/// One attempt of one entry to run a request. A retry by the caller is another attempt.
 struct Attempt {
   EntryId entry;
   membership::Incarnation incarnation;
-  /// Counts the entry's attempts in this life.
+  /// Counts the entry's attempts within its incarnation.
   std::uint64_t number = 0;
 
   friend auto operator<=>(const Attempt&, const Attempt&) = default;
 };
 
-/// Asks the owner of a request id for leave to run it.
+/// Asks the owner of a request id for permission to run the request.
 struct RegisterRequest {
   RequestId id;
   Attempt attempt;
@@ -27,50 +27,52 @@
   friend bool operator==(const RegisterRequest&, const RegisterRequest&) = default;
 };
 
-/// What the owner says. Each answer but `kMayRun` is final for this attempt.
+/// The owner's response. Every response but `kMayRun` is final for this attempt.
 enum class Registration {
-  /// Never run before, for certain; now registered as running for this attempt.
+  /// The request has certainly not run before; it is now registered as running for this attempt.
   kMayRun,
-  /// The owner may not act yet. Not run by this attempt; nothing is known of earlier ones. Come
-  /// back.
+  /// The owner may not act yet. Not run by this attempt; nothing is known of earlier ones. The
+  /// caller
+  /// may retry.
   kNotReady,
   /// The receiver does not own the id; not run by this attempt, and nothing is known of earlier
   /// ones.
   kNotOwner,
-  /// The id's time lies in the future; not run, and never was.
+  /// The id's time lies in the future. Not run by this or any earlier attempt.
   kFromFuture,
-  /// The table is full; not run, and never was. Come back.
+  /// The table is full. Not run by this or any earlier attempt. The caller may retry.
   kFull,
   /// An earlier attempt is running.
   kRunning,
-  /// An earlier attempt was answered in full.
+  /// An earlier attempt completed.
   kCompletedEarlier,
-  /// An earlier attempt may have run, or nothing is known of the time of this id.
+  /// An earlier attempt may have run, or the registry does not cover the time of this id.
   kMayHaveRun,
-  /// The id is older than what is remembered; an earlier attempt may have run.
+  /// The id is older than the registry's maximum age; an earlier attempt may have run.
   kTooOld,
 };
 inline constexpr std::size_t kRegistrations = 9;
-/// The stable code for error bodies and logs.
+/// Returns the stable code that error bodies and logs use.
 const char* ToString(Registration registration);
 
-/// Who made the request id.
+/// Who created the request id.
 enum class KeyOrigin {
-  /// The caller, by `Idempotency-Key`: an earlier try of the same request may exist.
+  /// The caller, by `Idempotency-Key`: an earlier attempt of the same request may exist.
   kCaller,
-  /// This entry, for this one try: there was no earlier one.
+  /// This entry, for this attempt only: there was no earlier one.
   kEntry,
 };
 
-/// What the caller is told when the owner's answer lets this attempt not run.
+/// Returns the verdict for the caller when the owner's response does not permit this attempt to
+/// run.
 ///
-/// `kNotRun` only where no attempt with this id can have run. What goes wrong otherwise: the answer
-/// to a first try is lost, the repeat meets an owner that can't know and is told "not run", and the
-/// caller charges the deposit under a new id. With "may have run" it repeats the same id, which is
-/// always safe.
+/// It is `kNotRun` only if no attempt with this id can have run. Otherwise, when the response to a
+/// first attempt is lost and the retry reaches an owner without knowledge of it, the caller would
+/// send the request, such as a payment, again under a new id after "not run", and it would run
+/// twice. After "may have run" the caller retries with the same id, which is always safe.
 Verdict VerdictOf(Registration registration, KeyOrigin origin);
 
-/// The same for an attempt that was given up before its owner answered.
+/// Returns the verdict for an attempt that was abandoned before its owner responded.
 Verdict VerdictWithoutOwner(KeyOrigin origin);
 
 struct RegisterReply {
@@ -81,8 +83,9 @@
   friend bool operator==(const RegisterReply&, const RegisterReply&) = default;
 };
 
-/// Tells the owner how an attempt ended. Repeated until acknowledged or given up; when it is lost,
-/// the id stays "running", which answers repeats by "may have run".
+/// Reports to the owner how an attempt ended. The entry repeats it until it is acknowledged or
+/// abandoned. If it is lost, the id stays registered as running, and retries are answered with
+/// "may have run".
 struct OutcomeReport {
   RequestId id;
   Attempt attempt;
@@ -91,6 +94,7 @@
   friend bool operator==(const OutcomeReport&, const OutcomeReport&) = default;
 };
 
+/// The owner's acknowledgement of an `OutcomeReport`.
 struct OutcomeSeen {
   RequestId id;
   Attempt attempt;
--- a/include/chervilspar/idempotency/ownership.h
+++ b/include/chervilspar/idempotency/ownership.h
@@ -10,9 +10,9 @@
 
 namespace chervilspar::idempotency {
 
-/// The entry that owns a request id under a list of entries: the highest rendezvous hash of (entry,
-/// id). A change of the list moves only the ids of the entries that came or went. None for an empty
-/// list.
+/// Returns the entry that owns a request id under a list of entries, by rendezvous hashing: the one
+/// with the highest hash of (entry, id). A change of the list moves only ids of the entries that
+/// were added or removed. Returns `std::nullopt` for an empty list.
 std::optional<EntryId> OwnerOf(const RequestId& id, const std::set<EntryId>& entries);
 
 }  // namespace chervilspar::idempotency
--- a/include/chervilspar/idempotency/request_client.h
+++ b/include/chervilspar/idempotency/request_client.h
@@ -21,43 +21,44 @@
   RegisterRequest request;
 };
 
+/// An outcome to report to the id's owner, which may be this entry itself.
 struct OutgoingOutcome {
   EntryId to;
   OutcomeReport report;
 };
 
-/// What a reply means for the request that waits for it.
+/// What to do with the request that waits for a reply.
 enum class ReplyUse {
   /// Dispatch now, at most once for this attempt.
   kDispatch,
   /// Answer the caller by the reply's registration.
   kRefuse,
-  /// Late, repeated or not for this life: nothing may be done on it.
+  /// Do nothing: the reply is late, repeated or for another incarnation.
   kIgnore,
 };
 
-/// The asking entry's side of at-most-once. Each attempt is dispatched on at most one reply, and an
-/// attempt that was given up is never dispatched, however late its reply comes.
+/// The requesting entry's side of at-most-once execution. Each attempt is dispatched on at most one
+/// reply, and an abandoned attempt is never dispatched, however late its reply arrives.
 class RequestClient {
  public:
   explicit RequestClient(membership::Self self);
 
   void OnConfiguration(const membership::EntryList& list);
 
-  /// Begins an attempt. None when there is no entry to own the id.
+  /// Begins an attempt. Returns `std::nullopt` when there is no entry to own the id.
   std::optional<OutgoingRegister> Begin(const RequestId& id, TimePoint now);
-  /// The attempt is given up before its dispatch (owner unreachable, deadline, cancelled). What to
-  /// tell the caller is `VerdictWithoutOwner`.
+  /// Abandons an attempt before its dispatch (owner unreachable, deadline expired, cancelled). The
+  /// caller's verdict is `VerdictWithoutOwner`.
   std::optional<OutgoingOutcome> GiveUp(const Attempt& attempt, TimePoint now);
   ReplyUse OnReply(const RegisterReply& reply);
-  /// A dispatched attempt has ended with this verdict.
+  /// Ends a dispatched attempt with this verdict.
   std::optional<OutgoingOutcome> Finish(const Attempt& attempt, Verdict verdict, TimePoint now);
   void OnOutcomeSeen(const OutcomeSeen& seen);
-  /// Outcomes to repeat; call about every 200 ms.
+  /// Returns the outcomes to send again. Call about every 200 ms.
   std::vector<OutgoingOutcome> Tick(TimePoint now);
 
-  /// An id that this entry itself owns under the current list, for a request without a key: its
-  /// registration costs no message.
+  /// Creates an id that this entry itself owns under the current list, for a request without a key,
+  /// so that its registration needs no message.
   UuidV7 MakeOwnId(WallTime now, Random& random) const;
 
   std::size_t PendingCount() const { return this->pending.size(); }
@@ -79,7 +80,9 @@
   membership::Self self;
   membership::EntryList list;
   std::uint64_t last_attempt = 0;
+  /// Attempts before their end, by number.
   std::map<std::uint64_t, Pending> pending;
+  /// Outcomes that the owner has not acknowledged, by attempt number.
   std::map<std::uint64_t, Unacknowledged> unacknowledged;
 };
 
--- a/include/chervilspar/idempotency/request_registry.h
+++ b/include/chervilspar/idempotency/request_registry.h
@@ -17,55 +17,55 @@
 
 namespace chervilspar::idempotency {
 
-/// Bounds of the owner's memory.
+/// Bounds on what the owner remembers.
 struct RegistryBounds {
-  /// Ids older than this are answered `kTooOld`. A caller's retries end long before.
+  /// Ids older than this are answered with `kTooOld`. A caller's retries end long before.
   Duration max_age = std::chrono::hours(1);
-  /// Ids younger than this are never forgotten to make room.
+  /// Ids younger than this are never evicted for new ones.
   Duration min_age = std::chrono::minutes(2);
-  /// Most ids remembered. At about 220 bytes each this is 44 MB, and at the hour's age it carries
-  /// 55 non-idempotent requests a second for each owner.
+  /// Maximum number of ids remembered. At about 220 bytes each this is 44 MB. With a maximum age of
+  /// one hour it suffices for 55 non-idempotent requests per second and owner.
   std::size_t capacity = 200000;
-  /// How far a caller's clock may be ahead. Ids from further ahead are refused, and an owner's
-  /// first moments are answered by "may have run" for this long.
+  /// How far a caller's clock may be ahead. Ids from further ahead are refused, and a new owner
+  /// answers ids minted up to this long after its start with "may have run".
   Duration max_caller_clock_lead = std::chrono::seconds(1);
 };
 
-/// Safety mechanisms of `RequestRegistry` that a test may take out.
+/// Safety mechanisms of `RequestRegistry` that a test may disable.
 struct RegistryGuards {
-  /// Ids minted before the owner's birth, plus skew, may have run.
+  /// Ids minted before the owner's ownership began, plus clock skew, may have run.
   membership::Guard ownership_start = membership::Guard::kOn;
   /// Ids whose owner changed are not run before all entries have the new list.
   membership::Guard joint_rule = membership::Guard::kOn;
   /// Ids from the future are refused.
   membership::Guard future = membership::Guard::kOn;
-  /// What was forgotten may have run.
+  /// Evicted ids may have run.
   membership::Guard forgotten = membership::Guard::kOn;
-  /// An outcome counts for its own attempt only.
+  /// An outcome applies to its own attempt only.
   membership::Guard attempt_match = membership::Guard::kOn;
 };
 
-/// The owner's side of at-most-once: remembers which request ids may have run.
+/// The owner's side of at-most-once execution: remembers which request ids may have run.
 ///
-/// A non-idempotent request is dispatched only with the leave of its id's owner, and the owner
-/// gives leave once, unless the earlier attempt is known not to have run. An owner that can't know
-/// answers "may have run", and one that may not yet act answers "not run, come back"; neither ever
-/// guesses. All callers' repeats through any entry meet at the same owner.
+/// A non-idempotent request is dispatched only with permission of its id's owner. The owner grants
+/// it once, and again only if the earlier attempt is known not to have run. An owner that can't
+/// know answers "may have run", and one that may not act yet answers "not run, retry"; neither ever
+/// guesses. Retries through any entry reach the same owner.
 class RequestRegistry {
  public:
   RequestRegistry(membership::Self self, Duration max_clock_skew, RegistryBounds bounds = {},
                   RegistryGuards guards = {});
 
-  /// An accepted configuration was folded. Versions must not go back.
+  /// Applies the list of an accepted configuration. Versions must not decrease.
   void OnConfiguration(const membership::EntryList& list, Duration max_clock_skew);
-  /// The log was read to its end since the start: see `Membership::MayOwn`.
+  /// The log has been read to its end since the process start; see `Membership::MayOwn`.
   void OnMayOwn();
-  /// `Membership::Applied()`, whenever it may have changed (each tick and heartbeat).
+  /// Takes `Membership::Applied()`. Call whenever it may have changed (each tick and heartbeat).
   void OnApplied(const membership::Agreement& applied, WallTime wall_now);
 
   RegisterReply OnRegister(const RegisterRequest& request, WallTime wall_now);
   OutcomeSeen OnOutcome(const OutcomeReport& report);
-  /// Forgets ids above the age bound; call about every second.
+  /// Evicts ids above the maximum age. Call about every second.
   void Tick(WallTime wall_now);
 
   std::size_t Size() const { return this->records.size(); }
@@ -77,13 +77,13 @@
     State state = State::kRunning;
     Attempt attempt;
   };
-  /// Ordered by age first, so that the oldest is forgotten first.
+  /// Ordered by age first, so that the oldest is evicted first.
   struct Key {
     WallTime minted;
     RequestId id;
     friend auto operator<=>(const Key&, const Key&) = default;
   };
-  /// A list of entries that is or was in force, and when all had come to the one after it.
+  /// An earlier list of entries, and when all entries had applied a later one.
   struct PastEntryList {
     std::set<EntryId> entries;
     WallTime ended;
@@ -98,7 +98,7 @@
   bool EvictIfFull(WallTime wall_now);
   void EvictOldest();
   void ExtendUnknown(WallTime until);
-  /// Largest lead of an id's time over this clock's reading when an earlier owner accepted it.
+  /// Maximum by which an id's time can be ahead of this clock when an earlier owner accepts it.
   Duration MaxClockLead() const {
     return this->bounds.max_caller_clock_lead + this->max_clock_skew;
   }
@@ -109,13 +109,14 @@
   RegistryGuards guards;
   bool may_own = false;
   membership::EntryList current;
-  /// Whether all entries have been known to act by one list in this life, or there was none yet.
+  /// Whether, in this incarnation, all entries were known to have applied the same list, or there
+  /// was no list yet.
   bool agreed_once = false;
-  /// Lists since the last one that all entries had applied, the current one last.
+  /// Lists from the last one that all entries applied up to the current one.
   std::vector<std::set<EntryId>> unconfirmed_lists;
-  /// Earlier lists, oldest first, kept for `max_age`.
+  /// Earlier lists, oldest first, kept until ids of their time are older than `max_age`.
   std::vector<PastEntryList> past_lists;
-  /// Ids minted up to here and not remembered may have run.
+  /// Ids minted up to this time that are not in `records` may have run.
   WallTime unknown_until;
   std::map<Key, Record> records;
   std::array<std::uint64_t, kRegistrations> answers{};
--- a/include/chervilspar/idempotency/uuid_v7.h
+++ b/include/chervilspar/idempotency/uuid_v7.h
@@ -9,12 +9,12 @@
 
 namespace chervilspar::idempotency {
 
-/// A UUID of version 7 (RFC 9562): its first 48 bits are the Unix time in milliseconds at which it
-/// was made.
+/// A UUID of version 7 (RFC 9562). Its first 48 bits are the Unix time of its creation in
+/// milliseconds.
 struct UuidV7 {
-  /// Canonical lower-case text. The same UUID in two spellings must not be two requests.
+  /// Canonical lower-case text, so that two spellings of a UUID identify the same request.
   RequestId id;
-  /// By the clock of whoever made it.
+  /// Creation time by the clock of its creator.
   WallTime minted;
 
   friend bool operator==(const UuidV7&, const UuidV7&) = default;
--- a/src/idempotency/request_client.cc
+++ b/src/idempotency/request_client.cc
@@ -9,13 +9,14 @@
 
 namespace {
 
-/// An outcome without a confirmation is repeated after this, and given up after so many tries: the
-/// owner is gone by then, and its successor answers "may have run" by itself.
+/// An unacknowledged outcome is sent again after this interval and abandoned after being sent
+/// this many times: by then the owner is gone, and its successor answers "may have run" without it.
 constexpr Duration kOutcomeRetryInterval = std::chrono::milliseconds(500);
-constexpr std::uint32_t kMaxOutcomeAttempts = 20;
+constexpr std::uint32_t kMaxOutcomeSends = 20;
 
-/// Tries for an id that this entry owns: with nine entries, 200 all fail once in 10^10 times.
-constexpr int kMaxOwnIdAttempts = 200;
+/// Ids created in search of one that this entry owns. With nine entries, 200 in a row fail with a
+/// probability below 10^-10.
+constexpr int kMaxOwnIdTries = 200;
 
 }  // namespace
 
@@ -98,7 +99,7 @@
       ++report;
       continue;
     }
-    if (report->second.tries >= kMaxOutcomeAttempts) {
+    if (report->second.tries >= kMaxOutcomeSends) {
       report = this->unacknowledged.erase(report);
       continue;
     }
@@ -112,7 +113,7 @@
 
 UuidV7 RequestClient::MakeOwnId(WallTime now, Random& random) const {
   UuidV7 uuid = MakeUuidV7(now, random);
-  for (int tried = 1; tried < kMaxOwnIdAttempts; ++tried) {
+  for (int tried = 1; tried < kMaxOwnIdTries; ++tried) {
     if (OwnerOf(uuid.id, this->list.entries) == this->self.id) {
       return uuid;
     }
--- a/src/idempotency/request_registry.cc
+++ b/src/idempotency/request_registry.cc
@@ -20,7 +20,7 @@
   const bool missed_first_list =
       this->current.entries.empty() && list.version > this->current.version + 1;
   if (missed_first_list) {
-    // An entry that saw the first list may own ids under it that this entry takes for its own.
+    // An entry that applied the first list may own ids under it that this entry considers its own.
     this->agreed_once = false;
   }
   this->current = list;
@@ -35,7 +35,7 @@
   }
   this->may_own = true;
   this->unconfirmed_lists = {this->current.entries};
-  // With no configuration in the whole log, no id has ever had an owner.
+  // Without any configuration in the log, no id has ever had an owner.
   this->agreed_once = this->current.version == 0;
   if (!this->agreed_once) {
     this->ExtendUnknown(this->self.incarnation.started + this->MaxClockLead());
@@ -47,7 +47,8 @@
     return;
   }
   if (!this->agreed_once) {
-    // Lists before this life's first are unknown, and with them who owned an id until now.
+    // Lists before the first of this incarnation are unknown, and so are the owners of ids until
+    // now.
     this->agreed_once = true;
     this->ExtendUnknown(wall_now + this->MaxClockLead());
   }
@@ -86,7 +87,7 @@
     case State::kMayHaveRun:
       return Registration::kMayHaveRun;
     case State::kRunning:
-      // A copy of the same message gets the same answer; its sender dispatches once.
+      // A copy of the same message gets the same response; its sender dispatches only once.
       return is_repeat ? Registration::kMayRun : Registration::kRunning;
     case State::kNotRun:
       break;
@@ -183,7 +184,7 @@
 
 void RequestRegistry::EvictOldest() {
   const auto oldest = this->records.begin();
-  // What is forgotten may have run. Ids of the same age that were never seen share its answer.
+  // The evicted id may have run. Unseen ids of the same age or older get the same response.
   if (this->guards.forgotten == Guard::kOn) {
     this->ExtendUnknown(oldest->first.minted);
   }
--- a/tests/idempotency/client_test.cc
+++ b/tests/idempotency/client_test.cc
@@ -89,8 +89,8 @@
 
 class ReplyTest : public testing::TestWithParam<ReplyCase> {};
 
-// Replies of the owner come late, twice, or after the attempt was given up. Each attempt may be
-// dispatched once; a second time would charge the caller again.
+// Replies of the owner arrive late, twice, or after the attempt was abandoned. A second dispatch of
+// an attempt would run a non-idempotent request twice.
 TEST_P(ReplyTest, DispatchesOnceAtMost) {
   RequestClient client = ClientOf("e1");
   const auto begun = client.Begin(RequestId{"x"}, At(0));
@@ -158,8 +158,8 @@
 
 class RegistrationVerdictTest : public testing::TestWithParam<VerdictCase> {};
 
-// The first answer to a deposit charge is lost and the repeat meets an owner that can't know of it.
-// "Not run" would send the caller off to charge again under a new id.
+// The response to a payment request is lost, and the retry reaches an owner without knowledge of
+// it. After "not run" the caller would pay again under a new id.
 TEST_P(RegistrationVerdictTest, ReturnsNotRunOnlyWhenNoAttemptCanHaveRun) {
   EXPECT_EQ(VerdictOf(GetParam().registration, GetParam().origin), GetParam().verdict);
 }
--- a/tests/idempotency/registry_test.cc
+++ b/tests/idempotency/registry_test.cc
@@ -49,7 +49,7 @@
   return MakeUuidV7(Wall(seconds), random).id;
 }
 
-/// The only entry of a fleet, up before the first configuration.
+/// The only entry of a fleet, started before the first configuration.
 RequestRegistry FirstOwner(RegistryBounds bounds = {}, RegistryGuards guards = {}) {
   RequestRegistry registry(SelfOf("e1", 0), std::chrono::milliseconds(500), bounds, guards);
   registry.OnMayOwn();
@@ -106,7 +106,7 @@
         StateCase{"RepeatAfterCompletion",
                   {Event::kFirst, Event::kCompleted, Event::kRepeat},
                   Registration::kCompletedEarlier},
-        StateCase{"RepeatAfterDoubt",
+        StateCase{"RepeatAfterMayHaveRun",
                   {Event::kFirst, Event::kMayHaveRun, Event::kRepeat},
                   Registration::kMayHaveRun},
         StateCase{"RepeatAfterNotRun",
@@ -143,8 +143,8 @@
                                          AgeCase{"FarAhead", 7202, Registration::kFromFuture}),
                          [](const auto& info) { return info.param.name; });
 
-// The owner is replaced after it let a deposit be charged, and the caller, who got no answer, asks
-// again. The successor has never heard of the request and would charge a second time.
+// The owner permits a request to run and is replaced, and the caller, who got no response, retries.
+// The successor has no record of the request and would let it run a second time.
 TEST(RegistryTest, SuccessorDoesNotRunIdsMintedBeforeItsOwnership) {
   for (const Guard guard : {Guard::kOn, Guard::kOff}) {
     RegistryGuards guards;
@@ -164,8 +164,8 @@
   }
 }
 
-// The list of entries changes while a zone is cut off. The old owner in that zone goes on giving
-// leave; the new one must not until the old one has the new list.
+// The list of entries changes while a zone is partitioned. The old owner in that zone still permits
+// requests to run; the new owner must not until the old one has applied the new list.
 TEST(RegistryTest, NewOwnerWaitsUntilTheOldOneHasTheNewList) {
   RequestRegistry registry(SelfOf("e2", 0), std::chrono::milliseconds(500));
   registry.OnMayOwn();
@@ -184,8 +184,8 @@
             Registration::kMayRun);
 }
 
-// The table is full, and the oldest id gives way. Its caller comes back with it: nothing is known
-// of it, so that running it could be the second time.
+// The table is full, and the oldest id is evicted. When its caller retries, the owner has no record
+// of it, so the request could run a second time.
 TEST(RegistryTest, ForgottenIdsMayHaveRun) {
   for (const Guard guard : {Guard::kOn, Guard::kOff}) {
     RegistryGuards guards;
@@ -210,8 +210,8 @@
             Registration::kFull);
 }
 
-// The wall clock is set back by a second after ids were forgotten by age. Ids of that second look
-// young enough again.
+// The wall clock is set back by a second after ids were evicted by age. Ids of that second then
+// appear to be within the maximum age again.
 TEST(RegistryTest, ClockSetBackDoesNotReviveForgottenIds) {
   RequestRegistry registry = FirstOwner();
   const RequestId id = MintedAt(10);
@@ -222,8 +222,8 @@
             Registration::kMayHaveRun);
 }
 
-// An attempt was answered "not run" and the request runs in a later attempt. The report on the
-// first comes again, late; taking it for the second would let the request run twice.
+// An attempt ends with "not run", and the request runs in a later attempt. A late copy of the first
+// report arrives; applying it to the second attempt would let the request run twice.
 TEST(RegistryTest, OutcomeCountsForItsOwnAttemptOnly) {
   for (const Guard guard : {Guard::kOn, Guard::kOff}) {
     RegistryGuards guards;
