--- a/src/job_entry/election.h
+++ b/src/job_entry/election.h
@@ -42,7 +42,7 @@
   bool IsNamedWithoutTerm();
   /// True while the member with the newest claim is still in the group.
   boost::asio::awaitable<bool> HasLiveOwner();
-  /// Passes the members to the roster, which chooses the entries that forward orders.
+  /// Passes the members to the fleet observer, which chooses the entries that forward orders.
   void PublishMembers();
   /// Writes a claim at this offset; false when it is refused or its outcome is unknown.
   boost::asio::awaitable<bool> Claim(std::uint64_t offset);
@@ -78,7 +78,7 @@
   std::uint64_t generation = 0;
   /// The last snapshot in which the owner was a member.
   MembersSnapshot last_live;
-  /// The last snapshot that was passed to the roster.
+  /// The last snapshot that was passed to the fleet observer.
   MembersSnapshot last_published;
   bool is_resigned = false;
   bool is_joined = true;
